--- a/features/fixtures_admission.py
+++ b/features/fixtures_admission.py
@@ -78,12 +78,12 @@
 
     async def serve(self, router: Router, wanted) -> Answer:
         """Admit a request and stream its answer."""
-        admitted = await router.scheduler.enter(wanted, 1)
+        admitted = await router.scheduler.admit(wanted, 1)
         permit = admitted.unwrap()
         try:
             answer = await router.answer(wanted)
         finally:
-            permit.leave()
+            permit.release()
         self.answers.append(answer)
         return answer
 
--- a/features/steps/admission.py
+++ b/features/steps/admission.py
@@ -12,7 +12,7 @@
 from quinceferry_core.retries import BURST_RETRIES, RetryBudget
 from quinceferry_lab.virtual_time import VirtualClock, run_virtual
 from quinceferryd.admission import Admission, Admitted
-from quinceferryd.choices import Openings
+from quinceferryd.choices import Availability
 from quinceferryd.settings import RoutingSettings
 
 
@@ -25,17 +25,17 @@
     def is_long(self, wanted):
         return False
 
-    def sent(self, wanted, upstream):
+    def record_sent(self, wanted, upstream):
         self.places -= 1
 
-    def ended(self, wanted, upstream):
+    def record_ended(self, wanted, upstream):
         self.places += 1
 
-    def openings(self, wanted):
-        return Openings([], [self] if self.places > 0 else [], 1.0)
+    def availability(self, wanted):
+        return Availability([], [self] if self.places > 0 else [], 1.0)
 
-    def place(self, wanted, hashes, openings, *, anywhere):
-        return self if openings.roomy else None
+    def choose_with_free_slots(self, wanted, hashes, availability, *, allow_cache_miss):
+        return self if availability.with_free_slots else None
 
     id = "gate"
 
@@ -73,7 +73,7 @@
         for _ in range(rate * 4):
             await asyncio.sleep(1 / rate)
             gate.places = 1
-            admission.pump()
+            admission.process_queue()
         assert len(admission) == count, len(admission)
         return admission, tasks
 
@@ -139,7 +139,7 @@
         scheduler = context.fleet.routers[0].scheduler
         permits = []
         for number in range(100):
-            entering = asyncio.create_task(scheduler.enter(request(f"r{number}"), 1))
+            entering = asyncio.create_task(scheduler.admit(request(f"r{number}"), 1))
             await asyncio.sleep(0)
             if not entering.done():
                 break
@@ -148,7 +148,7 @@
         entering.cancel()
         await asyncio.gather(entering, return_exceptions=True)
         for permit in permits:
-            permit.leave()
+            permit.release()
         return scheduler
 
     context.work = work
@@ -160,10 +160,10 @@
 
     async def work():
         scheduler = context.fleet.routers[0].scheduler
-        permit = (await scheduler.enter(request(), 1)).unwrap()
+        permit = (await scheduler.admit(request(), 1)).unwrap()
         assert scheduler.tracker.in_flight("e0") == 1
-        permit.leave()
-        permit.leave()
+        permit.release()
+        permit.release()
         return scheduler
 
     context.work = work
@@ -200,7 +200,7 @@
         await asyncio.sleep(0)
         context.refused = [task.result() for task in tasks if task.done()]
         context.gate.places = 1
-        admission.pump()
+        admission.process_queue()
         await asyncio.sleep(0)
         context.high = high.result() if high.done() else None
         await _stop(tasks)
--- a/features/steps/capacity.py
+++ b/features/steps/capacity.py
@@ -237,8 +237,8 @@
     board = Blackboard(Identity("vm-0", "zone-a", "10.0.0.1:80"))
     scheduler = Scheduler(board, clock, random.Random(1), RoutingSettings())
     looks = []
-    pump = scheduler.admission.pump
-    scheduler.admission.pump = lambda: (looks.append(clock.monotonic()), pump())
+    process_queue = scheduler.admission.process_queue
+    scheduler.admission.process_queue = lambda: (looks.append(clock.monotonic()), process_queue())
     await scheduler.start()
     await clock.sleep(10)
     if waiting_seconds:
@@ -246,8 +246,8 @@
         kind = RequestKind.CHAT
         request = CallerRequest(WORKSPACE, "q", kind, target, deadline_seconds=waiting_seconds)
         # No engine serves the target, so the request waits until its deadline.
-        pool = scheduler.admission._pool(request)
-        await scheduler.admission._wait(request, 10, (), pool)
+        target_queue = scheduler.admission._queue_for(request)
+        await scheduler.admission._wait_for_decision(request, 10, (), target_queue)
     await clock.sleep(seconds - clock.monotonic())
     await scheduler.stop()
     return len(looks)
--- a/features/steps/prefill.py
+++ b/features/steps/prefill.py
@@ -15,7 +15,7 @@
 from quinceferry_core.queues import Waiting
 from quinceferry_lab.virtual_time import VirtualClock
 from quinceferry_standins.engine_settings import EngineSettings
-from quinceferryd.pools import Pool
+from quinceferryd.pools import TargetQueue
 
 E0 = UpstreamId("e0")
 
@@ -32,7 +32,7 @@
     """Admit a request and read its answer, noting when its first token comes."""
     asked_at = VirtualClock().monotonic()
     timed = _Timed(Answer(wanted))
-    entered = await router.scheduler.enter(wanted, 1)
+    entered = await router.scheduler.admit(wanted, 1)
     if not isinstance(entered, Success):
         timed.refusal = entered.failure()
         return timed
@@ -40,7 +40,7 @@
         if timed.first_token_seconds is None and isinstance(event, Chunk):
             timed.first_token_seconds = VirtualClock().monotonic() - asked_at
         timed.answer.events.append(event)
-    entered.unwrap().leave()
+    entered.unwrap().release()
     timed.seconds = VirtualClock().monotonic() - asked_at
     return timed
 
@@ -79,12 +79,12 @@
     async def work(reported):
         for number in range(count):
             wanted = request(f"r{number}", prompt=_text(f"r{number}", tokens))
-            scheduler.sent(wanted, E0)
-            scheduler.dispatched(wanted, E0)
+            scheduler.record_sent(wanted, E0)
+            scheduler.record_dispatched(wanted, E0)
         await asyncio.sleep(seconds)
         report = LoadReport(count, 0, reported, 16 - count, (MODEL,))
         scheduler.tracker.apply_report(E0, report)
-        return scheduler.tracker.room_for(request("next"), E0)
+        return scheduler.tracker.free_slots_for(request("next"), E0)
 
     context.work = work
 
@@ -96,17 +96,17 @@
     first, second = (request(name, prompt=_text(name, tokens)) for name in ("l1", "l2"))
 
     async def work():
-        scheduler.sent(first, E0)
+        scheduler.record_sent(first, E0)
         await asyncio.sleep(0.25)
-        scheduler.sent(first, E0)
-        return scheduler.tracker.room_for(second, E0)
+        scheduler.record_sent(first, E0)
+        return scheduler.tracker.free_slots_for(second, E0)
 
     context.room = context.fleet.run(work)
 
 
 @given("a pool with {count:d} waiting requests that was watched for {seconds:d} seconds")
 def build_pool(context, count, seconds):
-    context.pool, context.now = Pool(256, 0.5), float(seconds)
+    context.pool, context.now = TargetQueue(256, 0.5), float(seconds)
     for number in range(count):
         waiting = Waiting(number, WorkspaceId("choir"), Priority.NORMAL, 1, 60.0, 0.0)
         context.pool.push(waiting, 0.0)
@@ -192,4 +192,4 @@
 
 @then("a wait of {seconds:d} seconds is expected")
 def check_wait(context, seconds):
-    assert context.pool.expected_wait(Priority.NORMAL, context.now) == seconds
+    assert context.pool.expected_wait_seconds(Priority.NORMAL, context.now) == seconds
--- a/features/steps/routing.py
+++ b/features/steps/routing.py
@@ -167,7 +167,7 @@
         await router.loads.stop()
         await asyncio.sleep(seconds)
         context.choice = _choose(router, request())
-        context.asked_for = set(router.scheduler.tracker.wanted_reports)
+        context.asked_for = set(router.scheduler.tracker.requested_reports)
 
     context.fleet.run(work)
 
@@ -210,14 +210,14 @@
     async def timed(wanted):
         router = fleet.routers[0]
         asked_at = VirtualClock().monotonic()
-        permit = (await router.scheduler.enter(wanted, 1)).unwrap()
+        permit = (await router.scheduler.admit(wanted, 1)).unwrap()
         answer = Answer(wanted)
         first = None
         async for event in router.open(wanted, answer.result, answer.dispatches):
             if first is None and isinstance(event, Chunk):
                 first = VirtualClock().monotonic() - asked_at
             answer.events.append(event)
-        permit.leave()
+        permit.release()
         return answer, first
 
     async def work():
@@ -240,7 +240,7 @@
         for _ in range(20):
             await asyncio.sleep(1)
             specs = context.fleet.site.configuration.upstreams_by_id.values()
-            fresh = sum(router.scheduler.tracker.is_reporting(spec) for spec in specs)
+            fresh = sum(router.scheduler.tracker.has_fresh_report(spec) for spec in specs)
             context.most_fresh = max(context.most_fresh, fresh)
         context.calls = router.loads.polls - context.calls_before
         context.seconds = 20
@@ -258,9 +258,9 @@
         context.reasons = []
         context.calls_before = router.loads.polls
         for _ in range(120):
-            entered = await router.scheduler.enter(wanted, 1)
+            entered = await router.scheduler.admit(wanted, 1)
             if isinstance(entered, Success):
-                entered.unwrap().leave()
+                entered.unwrap().release()
                 break
             context.reasons.append(entered.failure().reason.value)
             await asyncio.sleep(1)
@@ -338,7 +338,7 @@
 def check_not_loaded(context, wanted):
     async def work():
         target = ModelRef.parse(wanted)
-        return await context.fleet.routers[0].scheduler.enter(request(target=target), 1)
+        return await context.fleet.routers[0].scheduler.admit(request(target=target), 1)
 
     refusal = context.fleet.run(work).failure()
     assert refusal.reason.value == "model_not_loaded", refusal
--- a/packages/quinceferry-daemon/src/quinceferryd/admission.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/admission.py
@@ -9,14 +9,14 @@
 from quinceferry_core.outcomes import Failed, NotRun, NotRunProof, RefusalReason
 from quinceferry_core.prefixes import prefix_hashes
 from quinceferry_core.queues import Waiting
-from quinceferryd.choices import Openings, UpstreamChooser
-from quinceferryd.pools import Pool
+from quinceferryd.choices import Availability, UpstreamChooser
+from quinceferryd.pools import TargetQueue
 from quinceferryd.settings import RoutingSettings
 from quinceferryd.tracking import UpstreamTracker
 
-SCAN_DEPTH = 32
+MAX_SCANNED_REQUESTS = 32
 """Waiting requests of one pool that are looked at each time."""
-PATIENCE_SECONDS_BY_PRIORITY = {Priority.HIGH: 0.0, Priority.NORMAL: 2.0, Priority.LOW: 5.0}
+PREFIX_WAIT_SECONDS_BY_PRIORITY = {Priority.HIGH: 0.0, Priority.NORMAL: 2.0, Priority.LOW: 5.0}
 """How long a request waits for an upstream that holds its prefix before it takes any other."""
 MAX_RETRY_AFTER_SECONDS = 60.0
 
@@ -29,12 +29,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Applicant:
+class _QueuedRequest:
     """A request that waits, with the prefix hashes that its placing needs."""
 
     request: CallerRequest
     hashes: tuple[int, ...]
-    decided: asyncio.Future[Admitted | Failed]
+    decision: asyncio.Future[Admitted | Failed]
 
 
 class Admission:
@@ -55,159 +55,195 @@
         self._chooser = chooser
         self._clock = clock
         self._settings = settings
-        self._pools: dict[tuple[str, bool], Pool] = {}
-        self._entered = asyncio.Event()
+        self._queues_by_target: dict[tuple[str, bool], TargetQueue] = {}
+        self._request_queued = asyncio.Event()
 
     def __len__(self) -> int:
         """Return how many requests wait."""
-        return sum(len(pool.queue) for pool in self._pools.values())
+        return sum(len(target_queue.fair_queue) for target_queue in self._queues_by_target.values())
 
     async def admit(self, request: CallerRequest, tokens: int) -> Admitted | Failed:
         """Find a place for a request, now or after waiting; refuse at once what cannot get one."""
-        pool = self._pool(request)
+        target_queue = self._queue_for(request)
         hashes = prefix_hashes(request.target, request.prompt)
-        may_overtake = bool(hashes) or not pool.queue.waiting_up_to(request.priority)
-        if may_overtake:
-            openings = self._chooser.openings(request)
-            patience = PATIENCE_SECONDS_BY_PRIORITY[request.priority]
-            upstream = self._chooser.place(request, hashes, openings, anywhere=not patience)
+        may_skip_queue = bool(hashes) or not target_queue.fair_queue.waiting_up_to(request.priority)
+        if may_skip_queue:
+            availability = self._chooser.availability(request)
+            prefix_wait_seconds = PREFIX_WAIT_SECONDS_BY_PRIORITY[request.priority]
+            upstream = self._chooser.choose_with_free_slots(
+                request, hashes, availability, allow_cache_miss=not prefix_wait_seconds
+            )
             if upstream is not None:
-                return self._take_place(request, pool, upstream)
-        refusal = self._queue_refusal(request, pool)
-        return refusal or await self._wait(request, tokens, hashes, pool)
+                return self._reserve_upstream(request, target_queue, upstream)
+        refusal = self._queue_refusal(request, target_queue)
+        return refusal or await self._wait_for_decision(request, tokens, hashes, target_queue)
 
-    async def wait_for_waiting(self) -> None:
+    async def wait_until_queued(self) -> None:
         """Return once a request waits, at once if one does."""
         while not len(self):
-            self._entered.clear()
-            await self._entered.wait()
+            self._request_queued.clear()
+            await self._request_queued.wait()
 
-    def pump(self) -> None:
+    def process_queue(self) -> None:
         """Refuse waiting requests that are overdue, and admit those that have room."""
         now = self._clock.monotonic()
-        for pool in list(self._pools.values()):
-            for waiting in pool.queue.overdue(now, self._max_wait(pool)):
-                self._refuse_waiting(waiting, pool)
-            by_class = groupby(pool.queue.scan(SCAN_DEPTH), key=lambda waiting: waiting.priority)
-            for _, group in by_class:
-                self._place_class(list(group), pool, now)
-
-    def _place_class(self, group: list[Waiting[_Applicant]], pool: Pool, now: float) -> None:
+        for target_queue in list(self._queues_by_target.values()):
+            for waiting in target_queue.fair_queue.overdue(
+                now, self._max_wait_seconds(target_queue)
+            ):
+                self._refuse_waiting(waiting, target_queue)
+            groups_by_priority = groupby(
+                target_queue.fair_queue.scan(MAX_SCANNED_REQUESTS),
+                key=lambda waiting: waiting.priority,
+            )
+            for _, group in groups_by_priority:
+                self._admit_group(list(group), target_queue, now)
+
+    def _admit_group(
+        self, group: list[Waiting[_QueuedRequest]], target_queue: TargetQueue, now: float
+    ) -> None:
         """Place waiting requests of one class, first those whose prefix an upstream holds.
 
         Computing a prefix again costs more than a short wait; so a request takes any other upstream
         only after a while, and only the room that those with a held prefix leave.
         """
-        openings = self._chooser.openings(group[0].item.request)
-        for anywhere in (False, True):
+        availability = self._chooser.availability(group[0].item.request)
+        for allow_cache_miss in (False, True):
             for waiting in group:
-                if not openings.roomy:
+                if not availability.with_free_slots:
                     return
-                if anywhere and now - waiting.entered_at < _patience(waiting, openings, pool):
+                if allow_cache_miss and now - waiting.entered_at < _prefix_wait_seconds(
+                    waiting, availability, target_queue
+                ):
                     continue
-                if self._try_place(waiting, pool, openings, anywhere=anywhere):
-                    openings = self._chooser.openings(group[0].item.request)
+                if self._try_admit(
+                    waiting, target_queue, availability, allow_cache_miss=allow_cache_miss
+                ):
+                    availability = self._chooser.availability(group[0].item.request)
 
-    def _try_place(
-        self, waiting: Waiting[_Applicant], pool: Pool, openings: Openings, *, anywhere: bool
+    def _try_admit(
+        self,
+        waiting: Waiting[_QueuedRequest],
+        target_queue: TargetQueue,
+        availability: Availability,
+        *,
+        allow_cache_miss: bool,
     ) -> bool:
-        applicant = waiting.item
-        if applicant.decided.done():
+        queued = waiting.item
+        if queued.decision.done():
             return False
-        request = applicant.request
-        upstream = self._chooser.place(request, applicant.hashes, openings, anywhere=anywhere)
+        request = queued.request
+        upstream = self._chooser.choose_with_free_slots(
+            request, queued.hashes, availability, allow_cache_miss=allow_cache_miss
+        )
         if upstream is None:
             return False
-        pool.queue.take(waiting)
-        applicant.decided.set_result(self._take_place(request, pool, upstream))
+        target_queue.fair_queue.take(waiting)
+        queued.decision.set_result(self._reserve_upstream(request, target_queue, upstream))
         return True
 
-    def _take_place(self, request: CallerRequest, pool: Pool, upstream: UpstreamSpec) -> Admitted:
-        self._tracker.sent(request, upstream.id)
-        pool.admitted(request.priority, self._clock.monotonic())
+    def _reserve_upstream(
+        self, request: CallerRequest, target_queue: TargetQueue, upstream: UpstreamSpec
+    ) -> Admitted:
+        self._tracker.record_sent(request, upstream.id)
+        target_queue.record_admission(request.priority, self._clock.monotonic())
         return Admitted(upstream)
 
-    async def _wait(
-        self, request: CallerRequest, tokens: int, hashes: tuple[int, ...], pool: Pool
+    async def _wait_for_decision(
+        self,
+        request: CallerRequest,
+        tokens: int,
+        hashes: tuple[int, ...],
+        target_queue: TargetQueue,
     ) -> Admitted | Failed:
         now = self._clock.monotonic()
-        applicant = _Applicant(request, hashes, asyncio.get_running_loop().create_future())
+        queued = _QueuedRequest(request, hashes, asyncio.get_running_loop().create_future())
         waiting = Waiting(
-            applicant,
+            queued,
             request.workspace,
             request.priority,
             tokens,
             now + request.deadline_seconds,
             now,
         )
-        pool.push(waiting, now)
-        self._entered.set()
+        target_queue.push(waiting, now)
+        self._request_queued.set()
         try:
-            return await applicant.decided
+            return await queued.decision
         except asyncio.CancelledError:
-            pool.queue.remove(waiting)
-            self._give_up_place(applicant)
+            target_queue.fair_queue.remove(waiting)
+            self._release_upstream(queued)
             raise
 
-    def _give_up_place(self, applicant: _Applicant) -> None:
+    def _release_upstream(self, queued: _QueuedRequest) -> None:
         """Return a place that came at the moment in which the caller left."""
-        if not applicant.decided.done() or applicant.decided.cancelled():
+        if not queued.decision.done() or queued.decision.cancelled():
             return
-        match applicant.decided.result():
+        match queued.decision.result():
             case Admitted(upstream=upstream):
-                self._tracker.ended(applicant.request, upstream.id)
-
-    def _queue_refusal(self, request: CallerRequest, pool: Pool) -> Failed | None:
-        wait = pool.expected_wait(request.priority, self._clock.monotonic())
-        if wait >= request.deadline_seconds:
-            return refusal_of(RefusalReason.DEADLINE_EXCEEDED, wait, "the queue is too long")
-        if wait >= self._max_wait(pool):
-            return refusal_of(RefusalReason.QUEUE_FULL, wait, "the queue is too long")
-        if pool.queue.workspace_is_full(request.workspace):
-            return refusal_of(RefusalReason.QUEUE_FULL, wait, "the workspace fills its queue")
-        if pool.queue.has_room(request.workspace):
+                self._tracker.record_ended(queued.request, upstream.id)
+
+    def _queue_refusal(self, request: CallerRequest, target_queue: TargetQueue) -> Failed | None:
+        wait_seconds = target_queue.expected_wait_seconds(request.priority, self._clock.monotonic())
+        if wait_seconds >= request.deadline_seconds:
+            return unsent_refusal(
+                RefusalReason.DEADLINE_EXCEEDED, wait_seconds, "the queue is too long"
+            )
+        if wait_seconds >= self._max_wait_seconds(target_queue):
+            return unsent_refusal(RefusalReason.QUEUE_FULL, wait_seconds, "the queue is too long")
+        if target_queue.fair_queue.workspace_is_full(request.workspace):
+            return unsent_refusal(
+                RefusalReason.QUEUE_FULL, wait_seconds, "the workspace fills its queue"
+            )
+        if target_queue.fair_queue.has_room(request.workspace):
             return None
-        evicted = pool.queue.evict_below(request.priority)
+        evicted = target_queue.fair_queue.evict_below(request.priority)
         if evicted is None:
-            return refusal_of(RefusalReason.QUEUE_FULL, wait, "the queue is full")
-        self._refuse_waiting(evicted, pool)
+            return unsent_refusal(RefusalReason.QUEUE_FULL, wait_seconds, "the queue is full")
+        self._refuse_waiting(evicted, target_queue)
         return None
 
-    def _refuse_waiting(self, waiting: Waiting[_Applicant], pool: Pool) -> None:
+    def _refuse_waiting(self, waiting: Waiting[_QueuedRequest], target_queue: TargetQueue) -> None:
         now = self._clock.monotonic()
         overdue = now >= waiting.deadline
         reason = RefusalReason.DEADLINE_EXCEEDED if overdue else RefusalReason.QUEUE_FULL
-        wait = pool.expected_wait(waiting.priority, now)
-        if not waiting.item.decided.done():
-            refusal = refusal_of(reason, wait, "no capacity came free in time")
-            waiting.item.decided.set_result(refusal)
+        wait_seconds = target_queue.expected_wait_seconds(waiting.priority, now)
+        if not waiting.item.decision.done():
+            refusal = unsent_refusal(reason, wait_seconds, "no capacity came free in time")
+            waiting.item.decision.set_result(refusal)
 
-    def _max_wait(self, pool: Pool) -> float:
-        return self._settings.max_queue_wait_seconds * pool.pace
+    def _max_wait_seconds(self, target_queue: TargetQueue) -> float:
+        return self._settings.max_queue_wait_seconds * target_queue.wait_factor
 
-    def _pool(self, request: CallerRequest) -> Pool:
+    def _queue_for(self, request: CallerRequest) -> TargetQueue:
         is_long = self._tracker.is_long(request)
         key = (f"{request.kind.value} {request.target}", is_long)
-        if key not in self._pools:
-            self._pools[key] = Pool(
+        if key not in self._queues_by_target:
+            self._queues_by_target[key] = TargetQueue(
                 self._settings.max_queued_requests,
                 self._settings.max_workspace_queue_share,
                 is_long=is_long,
             )
-        return self._pools[key]
+        return self._queues_by_target[key]
 
 
-def _patience(waiting: Waiting[_Applicant], openings: Openings, pool: Pool) -> float:
+def _prefix_wait_seconds(
+    waiting: Waiting[_QueuedRequest], availability: Availability, target_queue: TargetQueue
+) -> float:
     """Return how long a request waits for its prefix.
 
     Hardly at all while much capacity is idle, but for a long one, whose prefix takes longer to
     compute again than to wait for.
     """
-    patience = PATIENCE_SECONDS_BY_PRIORITY[waiting.priority]
-    return patience if pool.pace > 1.0 else patience * openings.busy**2
+    prefix_wait_seconds = PREFIX_WAIT_SECONDS_BY_PRIORITY[waiting.priority]
+    return (
+        prefix_wait_seconds
+        if target_queue.wait_factor > 1.0
+        else prefix_wait_seconds * availability.utilization**2
+    )
 
 
-def refusal_of(reason: RefusalReason, wait_seconds: float, detail: str) -> Failed:
+def unsent_refusal(reason: RefusalReason, wait_seconds: float, detail: str) -> Failed:
     """Return the refusal of a request that was never sent.
 
     :param wait_seconds: when a retry may succeed, as far as it can be told.
--- a/packages/quinceferry-daemon/src/quinceferryd/application.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/application.py
@@ -167,7 +167,7 @@
             self._rng,
             settings.routing,
         )
-        readiness = UpstreamReadiness(self.blackboard, self.clock, self.loads.active)
+        readiness = UpstreamReadiness(self.blackboard, self.clock, self.loads.upstreams_to_poll)
         self.membership.add_join_hook(readiness.wait)
         self.crashes = CrashWatch(self.blackboard, self.clock)
         self.streams = StreamRunner(
--- a/packages/quinceferry-daemon/src/quinceferryd/attempts.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/attempts.py
@@ -97,7 +97,7 @@
             upstream = chosen.unwrap()
             self._connection = next(self._context.connection_numbers)
             attempt = Attempt(self._connection, upstream.id)
-            scheduler.sent(self._request, upstream.id)
+            scheduler.record_sent(self._request, upstream.id)
             try:
                 aborted = await self._on_dispatch(upstream, self._connection)
                 if aborted is not None:
@@ -107,7 +107,7 @@
                 self._result.attempts.append(attempt)
                 ending = await self._run_unless_leaving(upstream, attempt)
             finally:
-                scheduler.ended(self._request, upstream.id)
+                scheduler.record_ended(self._request, upstream.id)
             if isinstance(ending, Finished):
                 self._context.crashes.completed(self._request)
                 return ending
@@ -135,7 +135,7 @@
         if self._context.scheduler.tracker.is_leaving(upstream):
             attempt.not_run = NotRunProof.NEVER_SENT
             return Ending.NOT_SENT
-        self._context.scheduler.dispatched(self._request, upstream.id)
+        self._context.scheduler.record_dispatched(self._request, upstream.id)
         return await self._run_at(upstream, attempt)
 
     async def _run_at(self, upstream: UpstreamSpec, attempt: Attempt) -> Finished | Ending:
@@ -183,9 +183,9 @@
         if isinstance(ended, Ending):
             self._context.counters.endings[ended] += 1
             if ended.is_failure and not self._is_prefilling(run, ended):
-                tracker.failed(run.upstream.id)
+                tracker.record_failure(run.upstream.id)
         else:
-            tracker.succeeded(run.upstream.id)
+            tracker.record_success(run.upstream.id)
         return ended
 
     def _may_resume(self, run: UpstreamRun, ending: Ending) -> bool:
@@ -203,7 +203,7 @@
         """Return whether silence is taken for a long prefill: the engine still reports its load."""
         if ending is not Ending.SILENT or run.chunks.next_offset:
             return False
-        return self._context.scheduler.tracker.is_reporting(run.upstream)
+        return self._context.scheduler.tracker.has_fresh_report(run.upstream)
 
     def _retry_refusal(
         self, upstream: UpstreamSpec, attempt: Attempt, ending: Ending
--- a/packages/quinceferry-daemon/src/quinceferryd/choices.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/choices.py
@@ -8,26 +8,26 @@
 from quinceferry_core.routing import Candidate, CostModel, rendezvous_order, sample_candidates
 from quinceferryd.settings import RoutingSettings
 from quinceferryd.tracking import UpstreamTracker
-from quinceferryd.upstream_views import prompt_tokens
+from quinceferryd.upstream_views import estimate_prompt_tokens
 
-HOMES_PER_PREFIX = 2
+PREFERRED_UPSTREAMS_PER_PREFIX = 2
 """Upstreams on which routers that never met agree for one prompt prefix."""
-BUSY_SHARE = 0.6
+BUSY_SLOT_SHARE = 0.6
 """Part of all slots from which on the fleet counts as busy."""
-MIN_ROOM = 0.5
+MIN_FREE_SLOTS = 0.5
 """Room that counts as one free place; expected growth makes it a fraction."""
 
 
 @dataclass(slots=True, frozen=True)
-class Openings:
+class Availability:
     """Upstreams that may get a request, and those of them that have room for it.
 
-    ``busy`` is the part of all their slots that is taken, from zero to one.
+    ``utilization`` is the part of all their slots that is taken, from zero to one.
     """
 
     eligible: list[UpstreamSpec]
-    roomy: list[UpstreamSpec]
-    busy: float
+    with_free_slots: list[UpstreamSpec]
+    utilization: float
 
 
 class UpstreamChooser:
@@ -53,111 +53,131 @@
         self, request: CallerRequest, excluded: frozenset[UpstreamId]
     ) -> UpstreamSpec | None:
         """Return the cheapest of the sampled upstreams, or None if none may get the request."""
-        eligible = self._tracker.eligible(request, excluded)
+        eligible = self._tracker.eligible_upstreams(request, excluded)
         hashes = prefix_hashes(request.target, request.prompt)
-        homes = self._homes(request, hashes, eligible)
+        preferred = self._preferred_upstreams(request, hashes, eligible)
         if self._tracker.is_long(request):
-            eligible = self._held(eligible, hashes) or self._first_for_long(eligible, eligible)
-        return self._cheapest(request, hashes, homes, eligible)
+            eligible = self._with_cached_prefix(
+                eligible, hashes
+            ) or self._prefer_long_work_upstreams(eligible, eligible)
+        return self._select_cheapest(request, hashes, preferred, eligible)
 
-    def openings(self, request: CallerRequest) -> Openings:
+    def availability(self, request: CallerRequest) -> Availability:
         """Return the upstreams that have room for requests of this target, class and length."""
-        eligible = self._tracker.eligible(request)
-        roomy = [s for s in eligible if self._tracker.room_for(request, s.id) >= MIN_ROOM]
+        eligible = self._tracker.eligible_upstreams(request)
+        with_free_slots = [
+            spec
+            for spec in eligible
+            if self._tracker.free_slots_for(request, spec.id) >= MIN_FREE_SLOTS
+        ]
         loads = [self._tracker.load(spec.id) for spec in eligible]
         slots = sum(load.slots for load in loads)
         taken = sum(min(load.slots, load.occupied) for load in loads)
-        return Openings(eligible, roomy, taken / max(1, slots))
+        return Availability(eligible, with_free_slots, taken / max(1, slots))
 
-    def place(
+    def choose_with_free_slots(
         self,
         request: CallerRequest,
         hashes: tuple[int, ...],
-        openings: Openings,
+        availability: Availability,
         *,
-        anywhere: bool,
+        allow_cache_miss: bool,
     ) -> UpstreamSpec | None:
         """Return an upstream with room for a request, or None if it should wait.
 
         :param hashes: the prompt's prefix hashes.
         :param anywhere: whether an upstream that does not hold the prefix will do.
         """
-        if not openings.roomy:
+        if not availability.with_free_slots:
             return None
-        homes = self._homes(request, hashes, openings.eligible)
-        roomy = openings.roomy
+        preferred = self._preferred_upstreams(request, hashes, availability.eligible)
+        with_free_slots = availability.with_free_slots
         if self._tracker.is_long(request):
-            roomy = self._roomy_for_long(hashes, openings, anywhere=anywhere)
-        if homes and not anywhere:
-            homes_now = _open_homes(homes, openings)[:1]
-            roomy = [spec for spec in roomy if self._holds_prefix(spec, hashes, homes_now)]
-        return self._cheapest(request, hashes, homes, roomy)
-
-    def _roomy_for_long(
-        self, hashes: tuple[int, ...], openings: Openings, *, anywhere: bool
+            with_free_slots = self._select_for_long_prompt(
+                hashes, availability, allow_cache_miss=allow_cache_miss
+            )
+        if preferred and not allow_cache_miss:
+            available_preferred = _available_preferred(preferred, availability)[:1]
+            with_free_slots = [
+                spec
+                for spec in with_free_slots
+                if self._has_or_should_have_prefix(spec, hashes, available_preferred)
+            ]
+        return self._select_cheapest(request, hashes, preferred, with_free_slots)
+
+    def _select_for_long_prompt(
+        self, hashes: tuple[int, ...], availability: Availability, *, allow_cache_miss: bool
     ) -> list[UpstreamSpec]:
         """Return the upstreams with room for a long prompt.
 
         Where its prefix is cached, or is being computed, it costs little; so it waits a while for
         room there. Elsewhere it fills only a part of the slots of a part of the upstreams.
         """
-        held = self._held(openings.eligible, hashes)
-        roomy_ids = {spec.id for spec in openings.roomy}
-        roomy_held = [spec for spec in held if spec.id in roomy_ids]
-        if roomy_held or (held and not anywhere):
-            return roomy_held
-        takers = [spec for spec in openings.roomy if self._tracker.takes_long(spec.id)]
-        return self._first_for_long(takers, openings.eligible)
-
-    def _first_for_long(
-        self, takers: list[UpstreamSpec], eligible: list[UpstreamSpec]
+        cached = self._with_cached_prefix(availability.eligible, hashes)
+        ids_with_free_slots = {spec.id for spec in availability.with_free_slots}
+        cached_with_free_slots = [spec for spec in cached if spec.id in ids_with_free_slots]
+        if cached_with_free_slots or (cached and not allow_cache_miss):
+            return cached_with_free_slots
+        accepting = [
+            spec
+            for spec in availability.with_free_slots
+            if self._tracker.accepts_long_prompt(spec.id)
+        ]
+        return self._prefer_long_work_upstreams(accepting, availability.eligible)
+
+    def _prefer_long_work_upstreams(
+        self, accepting: list[UpstreamSpec], eligible: list[UpstreamSpec]
     ) -> list[UpstreamSpec]:
         """Return those upstreams for long work that have room, or else those it spills to."""
         for_long_work = self._tracker.long_work_upstreams(eligible)
-        spill = self._tracker.spill_upstreams(eligible)
-        first = [spec for spec in takers if spec.id in for_long_work]
-        return first or [spec for spec in takers if spec.id in spill]
+        overflow = self._tracker.overflow_upstreams(eligible)
+        preferred_for_long = [spec for spec in accepting if spec.id in for_long_work]
+        return preferred_for_long or [spec for spec in accepting if spec.id in overflow]
 
-    def _held(self, specs: list[UpstreamSpec], hashes: tuple[int, ...]) -> list[UpstreamSpec]:
+    def _with_cached_prefix(
+        self, specs: list[UpstreamSpec], hashes: tuple[int, ...]
+    ) -> list[UpstreamSpec]:
         if not hashes:
             return []
-        return [spec for spec in specs if self._tracker.holds_prefix(spec.id, hashes)]
+        return [spec for spec in specs if self._tracker.has_cached_prefix(spec.id, hashes)]
 
-    def _holds_prefix(
-        self, spec: UpstreamSpec, hashes: tuple[int, ...], homes: list[UpstreamId]
+    def _has_or_should_have_prefix(
+        self, spec: UpstreamSpec, hashes: tuple[int, ...], preferred: list[UpstreamId]
     ) -> bool:
         """Return whether a prompt's prefix is believed to be there, or should come to be there."""
-        return spec.id in homes or self._tracker.holds_prefix(spec.id, hashes)
+        return spec.id in preferred or self._tracker.has_cached_prefix(spec.id, hashes)
 
-    def _cheapest(
+    def _select_cheapest(
         self,
         request: CallerRequest,
         hashes: tuple[int, ...],
-        homes: list[UpstreamId],
+        preferred: list[UpstreamId],
         specs: list[UpstreamSpec],
     ) -> UpstreamSpec | None:
         if not specs:
             return None
-        tokens = prompt_tokens(request)
-        candidates = [self._candidate(spec, hashes, tokens, homes) for spec in specs]
-        sampled = sample_candidates(candidates, homes, self._settings.sampled_candidates, self._rng)
+        tokens = estimate_prompt_tokens(request)
+        candidates = [self._candidate(spec, hashes, tokens, preferred) for spec in specs]
+        sampled = sample_candidates(
+            candidates, preferred, self._settings.sampled_candidates, self._rng
+        )
         urgent = request.priority is Priority.HIGH
-        best = min(sampled, key=lambda each: self._costs.cost(each, tokens, urgent=urgent))
-        return next(spec for spec in specs if spec.id == best.upstream)
+        cheapest = min(sampled, key=lambda each: self._costs.cost(each, tokens, urgent=urgent))
+        return next(spec for spec in specs if spec.id == cheapest.upstream)
 
     def _candidate(
-        self, spec: UpstreamSpec, hashes: tuple[int, ...], tokens: int, homes: list[UpstreamId]
+        self, spec: UpstreamSpec, hashes: tuple[int, ...], tokens: int, preferred: list[UpstreamId]
     ) -> Candidate:
         return Candidate(
             spec.id,
             self._tracker.load(spec.id),
             self._tracker.cached_tokens(spec.id, hashes, tokens),
-            homes.index(spec.id) if spec.id in homes else len(homes),
+            preferred.index(spec.id) if spec.id in preferred else len(preferred),
             spec.zone == self._zone,
             self._tracker.is_failing(spec.id),
         )
 
-    def _homes(
+    def _preferred_upstreams(
         self, request: CallerRequest, hashes: tuple[int, ...], eligible: list[UpstreamSpec]
     ) -> list[UpstreamId]:
         """Return the upstreams that should cache a prompt, the first one first."""
@@ -166,15 +186,17 @@
         for_long_work = self._tracker.long_work_upstreams(eligible)
         others = [spec.id for spec in eligible if spec.id not in for_long_work]
         ranked = rendezvous_order(str(hashes[0]), others or [spec.id for spec in eligible])
-        return ranked[:HOMES_PER_PREFIX]
+        return ranked[:PREFERRED_UPSTREAMS_PER_PREFIX]
 
 
-def _open_homes(homes: list[UpstreamId], openings: Openings) -> list[UpstreamId]:
+def _available_preferred(
+    preferred: list[UpstreamId], availability: Availability
+) -> list[UpstreamId]:
     """Return the homes that a prefix may be copied to now, the first one first.
 
     While much capacity is idle a full home is passed over; else copies would only crowd the caches.
     """
-    if openings.busy >= BUSY_SHARE:
-        return homes
-    roomy = {spec.id for spec in openings.roomy}
-    return [home for home in homes if home in roomy]
+    if availability.utilization >= BUSY_SLOT_SHARE:
+        return preferred
+    ids_with_free_slots = {spec.id for spec in availability.with_free_slots}
+    return [upstream for upstream in preferred if upstream in ids_with_free_slots]
--- a/packages/quinceferry-daemon/src/quinceferryd/connections.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/connections.py
@@ -187,7 +187,7 @@
             return Ending.DIFFERS
         if run.chunks.next_offset > before:
             run.fruitless = 0
-            self._scheduler.first_token(run.request, run.upstream.id)
+            self._scheduler.record_first_token(run.request, run.upstream.id)
         for piece in new:
             run.delivered.add(piece)
             try:
--- a/packages/quinceferry-daemon/src/quinceferryd/execution.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/execution.py
@@ -95,7 +95,7 @@
                 last = await self._relay(run, execution)
         finally:
             if permit is not None:
-                permit.leave()
+                permit.release()
             settled = self._recorder.settle(execution)
         if settled is not None and isinstance(last, Finished):
             await self._recorder.secure(settled)
@@ -110,7 +110,7 @@
         """Enter the queue and record how long it took."""
         request = execution.request
         started_at = self._clock.monotonic()
-        admitted = await self._scheduler.enter(request, execution.token_cap)
+        admitted = await self._scheduler.admit(request, execution.token_cap)
         waited = self._clock.monotonic() - started_at
         self._metrics.queue_wait(request.workspace, request.priority, waited)
         return admitted
--- a/packages/quinceferry-daemon/src/quinceferryd/loads.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/loads.py
@@ -16,11 +16,11 @@
 from quinceferryd.scheduling import Scheduler
 from quinceferryd.settings import RoutingSettings
 
-CACHE_EVENT_PERIOD = 8
+ROUNDS_PER_CACHE_EVENT_READ = 8
 """Cache events of an engine are read with one in this many load reports."""
-PROBES_WITHOUT_TARGET = 4
+PROBES_FOR_UNSERVED_TARGET = 4
 """Random upstreams polled in one round while no known one has the target of a request."""
-SIGNS_INTERVAL_SECONDS = 0.25
+LEAVING_UPDATE_INTERVAL_SECONDS = 0.25
 """How often the signs that an upstream is leaving are put together."""
 
 
@@ -48,32 +48,37 @@
         self._clock = clock
         self._rng = rng
         self._settings = settings
-        self._polling: set[UpstreamId] = set()
+        self._polled_ids: set[UpstreamId] = set()
         self.polls = 0
         self.failed_polls = 0
 
     async def start(self) -> None:
         """Start polling."""
         self.spawn(self._poll_forever(), "load polls")
-        self.spawn(self._watch_signs_forever(), "leaving signs")
+        self.spawn(self._update_leaving_forever(), "leaving signs")
 
-    def update_signs(self) -> None:
+    def update_leaving(self) -> None:
         """Put together what the VM list, the upstreams and the other routers say of leaving."""
-        told = {
+        reported_by_members = {
             upstream
             for member in self._blackboard.members_by_incarnation.values()
             if member.incarnation != self._blackboard.identity.incarnation
             for upstream in member.leaving_upstreams
         }
         specs_by_id = self._blackboard.configuration.upstreams_by_id
-        for upstream in (*self._blackboard.upstreams_by_id, *(told & specs_by_id.keys())):
-            self._tracker.status(upstream).told_leaving = upstream in told
-        known = self._blackboard.upstreams_by_id.keys() & specs_by_id.keys()
+        for upstream in (
+            *self._blackboard.upstreams_by_id,
+            *(reported_by_members & specs_by_id.keys()),
+        ):
+            self._tracker.status(upstream).told_leaving = upstream in reported_by_members
+        polled = self._blackboard.upstreams_by_id.keys() & specs_by_id.keys()
         self._blackboard.leaving_upstreams = {
-            upstream for upstream in known if self._tracker.sees_leaving(specs_by_id[upstream])
+            upstream
+            for upstream in polled
+            if self._tracker.is_observed_leaving(specs_by_id[upstream])
         }
 
-    def active(self) -> list[UpstreamSpec]:
+    def upstreams_to_poll(self) -> list[UpstreamSpec]:
         """Return the upstreams to poll: those in use, and this router's likeliest choices.
 
         Each router has its own order, so that they do not all poll an upstream at the same moment.
@@ -83,45 +88,45 @@
         chosen = set(ranked)
         if len(ranked) > self._settings.max_active_upstreams:
             chosen = set(ranked[: self._settings.max_active_upstreams - 1])
-            chosen.update(self._rng.sample(ranked, self._probes()))
+            chosen.update(self._rng.sample(ranked, self._probe_count()))
             chosen.update(upstream for upstream in ranked if self._tracker.in_flight(upstream))
         return [specs_by_id[upstream] for upstream in ranked if upstream in chosen]
 
-    def _probes(self) -> int:
+    def _probe_count(self) -> int:
         """Return how many others to look at in this round: more while a target is not found."""
-        return PROBES_WITHOUT_TARGET if self._tracker.lacks_target else 1
+        return PROBES_FOR_UNSERVED_TARGET if self._tracker.has_unserved_target else 1
 
     async def _poll_forever(self) -> None:
         for round_number in count():
-            active = self.active()
-            self._tracker.lacks_target = False
-            self._tracker.forget_unused()
-            for position, spec in enumerate(active):
-                self._poll_wanted()
-                with_events = (round_number + position) % CACHE_EVENT_PERIOD == 0
+            upstreams = self.upstreams_to_poll()
+            self._tracker.has_unserved_target = False
+            self._tracker.remove_unused()
+            for position, spec in enumerate(upstreams):
+                self._poll_requested()
+                with_events = (round_number + position) % ROUNDS_PER_CACHE_EVENT_READ == 0
                 self._spawn_poll(spec, with_events)
-                await self._clock.sleep(self._spacing(len(active), with_events))
-            if not active:
+                await self._clock.sleep(self._poll_delay_seconds(len(upstreams), with_events))
+            if not upstreams:
                 await self._clock.sleep(self._settings.load_interval_seconds)
 
-    def _spacing(self, active: int, with_events: bool) -> float:
+    def _poll_delay_seconds(self, upstream_count: int, with_events: bool) -> float:
         calls = 2 if with_events else 1
         return max(
-            self._settings.load_interval_seconds / active,
+            self._settings.load_interval_seconds / upstream_count,
             calls / self._settings.max_polls_per_second,
         )
 
-    def _poll_wanted(self) -> None:
+    def _poll_requested(self) -> None:
         specs_by_id = self._blackboard.configuration.upstreams_by_id
-        for upstream in self._tracker.wanted_reports:
+        for upstream in self._tracker.requested_reports:
             if upstream in specs_by_id:
                 self._spawn_poll(specs_by_id[upstream], with_events=False)
-        self._tracker.wanted_reports.clear()
+        self._tracker.requested_reports.clear()
 
     def _spawn_poll(self, spec: UpstreamSpec, with_events: bool) -> None:
-        if spec.id in self._polling:
+        if spec.id in self._polled_ids:
             return
-        self._polling.add(spec.id)
+        self._polled_ids.add(spec.id)
         self.spawn(self._poll(spec, with_events), f"poll {spec.id}")
 
     async def _poll(self, spec: UpstreamSpec, with_events: bool) -> None:
@@ -129,17 +134,17 @@
         try:
             report = await self._upstreams.load(spec)
             self._tracker.apply_report(spec.id, report)
-            self._scheduler.admission.pump()
+            self._scheduler.admission.process_queue()
             if with_events and spec.kind is UpstreamKind.ENGINE:
-                last = self._tracker.last_event(spec.id)
-                events = await self._upstreams.cache_events(spec, last)
+                sequence = self._tracker.last_event_sequence(spec.id)
+                events = await self._upstreams.cache_events(spec, sequence)
                 self._tracker.apply_events(spec.id, events)
         except UpstreamError:
             self.failed_polls += 1
         finally:
-            self._polling.discard(spec.id)
+            self._polled_ids.discard(spec.id)
 
-    async def _watch_signs_forever(self) -> None:
+    async def _update_leaving_forever(self) -> None:
         while True:
-            self.update_signs()
-            await self._clock.sleep(SIGNS_INTERVAL_SECONDS)
+            self.update_leaving()
+            await self._clock.sleep(LEAVING_UPDATE_INTERVAL_SECONDS)
--- a/packages/quinceferry-daemon/src/quinceferryd/model_demand.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/model_demand.py
@@ -9,7 +9,7 @@
 from quinceferryd.blackboard import Blackboard
 from quinceferryd.membership import MembershipController
 
-DEMAND_PREFIX = "demand/"
+DEMAND_KEY_PREFIX = "demand/"
 
 
 class ModelDemand:
@@ -32,8 +32,8 @@
         self._kv = kv
         self._membership = membership
         self._meter = meter
-        self._published: dict[str, float] = {}
-        self._published_under = ""
+        self._published_rates: dict[str, float] = {}
+        self._published_lease = ""
 
     async def publish(self) -> None:
         """Write the demand if it changed or its lease did.
@@ -41,25 +41,25 @@
         :raises KvError: the service did not answer; call again.
         """
         lease = self._membership.lease
-        demand = {str(model): rate for model, rate in self._meter.read().items()}
-        is_known = demand == self._published and self._published_under in (lease, "")
-        if not lease or is_known:
+        rates = {str(model): rate for model, rate in self._meter.read().items()}
+        is_unchanged = rates == self._published_rates and self._published_lease in (lease, "")
+        if not lease or is_unchanged:
             return
-        key = f"{DEMAND_PREFIX}{self._blackboard.identity.incarnation}"
+        key = f"{DEMAND_KEY_PREFIX}{self._blackboard.identity.incarnation}"
         entry = await self._kv.get(key)
         version = entry.version if entry else ABSENT_VERSION
         try:
-            await self._kv.put_if(key, msgspec.json.encode(demand), version, lease)
+            await self._kv.put_if(key, msgspec.json.encode(rates), version, lease)
         except KvConflictError:
             return
-        self._published = demand
-        self._published_under = lease
+        self._published_rates = rates
+        self._published_lease = lease
 
-    async def read_fleet(self) -> dict[ModelRef, float]:
+    async def read_fleet_rates(self) -> dict[ModelRef, float]:
         """Return the demand of all routers together."""
-        total: dict[ModelRef, float] = {}
-        for entry in await self._kv.list(DEMAND_PREFIX):
+        total_rates: dict[ModelRef, float] = {}
+        for entry in await self._kv.list(DEMAND_KEY_PREFIX):
             for name, rate in msgspec.json.decode(entry.value, type=dict[str, float]).items():
                 model = ModelRef.parse(name)
-                total[model] = total.get(model, 0.0) + rate
-        return total
+                total_rates[model] = total_rates.get(model, 0.0) + rate
+        return total_rates
--- a/packages/quinceferry-daemon/src/quinceferryd/orders.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/orders.py
@@ -121,7 +121,7 @@
             return
         records = await self.shards.read_all()
         self._fleet_engines = {e.upstream: e for record in records for e in record.engines}
-        self._fleet_demand = await self._demand.read_fleet()
+        self._fleet_demand = await self._demand.read_fleet_rates()
         self._fleet_read_at = now
 
     def _is_view_complete(self) -> bool:
--- a/packages/quinceferry-daemon/src/quinceferryd/pools.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/pools.py
@@ -7,13 +7,13 @@
 
 RATE_WINDOW_SECONDS = 5.0
 """Admissions of this long are counted to predict waits."""
-MIN_BUSY_SECONDS = 1.0
+MIN_NONEMPTY_SECONDS = 1.0
 """A queue must have been non-empty for so long before its rate says anything."""
-LONG_WORK_FACTOR = 2.0
+LONG_QUEUE_WAIT_FACTOR = 2.0
 """How many times as long a queue of long work is watched, and may be waited in."""
 
 
-class Pool:
+class TargetQueue:
     """Queue of one target, with the rate at which it has been moving.
 
     Long and live requests for the same target use separate pools, so that a long request at the
@@ -25,46 +25,54 @@
     def __init__(
         self, max_entries: int, max_workspace_share: float, *, is_long: bool = False
     ) -> None:
-        self.pace = LONG_WORK_FACTOR if is_long else 1.0
-        self.queue: FairQueue = FairQueue(max_entries, max_workspace_share)
-        self._admissions: deque[tuple[float, Priority]] = deque()
-        self._busy_since: float | None = None
+        self.wait_factor = LONG_QUEUE_WAIT_FACTOR if is_long else 1.0
+        self.fair_queue: FairQueue = FairQueue(max_entries, max_workspace_share)
+        self._recent_admissions: deque[tuple[float, Priority]] = deque()
+        self._nonempty_since: float | None = None
 
     def push(self, waiting: Waiting, now: float) -> None:
         """Add a request to the queue."""
-        if not len(self.queue):
-            self._busy_since = now
-        self.queue.push(waiting)
+        if not len(self.fair_queue):
+            self._nonempty_since = now
+        self.fair_queue.push(waiting)
 
-    def admitted(self, priority: Priority, now: float) -> None:
+    def record_admission(self, priority: Priority, now: float) -> None:
         """Count an admission."""
-        self._admissions.append((now, priority))
-        self._forget_old(now)
+        self._recent_admissions.append((now, priority))
+        self._drop_expired_admissions(now)
 
-    def expected_wait(self, priority: Priority, now: float) -> float:
+    def expected_wait_seconds(self, priority: Priority, now: float) -> float:
         """Return the seconds that a new request of a class would wait.
 
         The queue ahead is divided by the rate of all admissions, and the class's own part of it by
         the rate of the class, which higher classes may have pushed aside. A queue that has not
         moved while it was watched is taken to move once in that time.
         """
-        self._forget_old(now)
-        ahead = self.queue.waiting_up_to(priority)
-        busy = now - self._busy_since if self._busy_since is not None else 0.0
-        if not ahead or busy < MIN_BUSY_SECONDS * self.pace:
+        self._drop_expired_admissions(now)
+        ahead = self.fair_queue.waiting_up_to(priority)
+        nonempty_seconds = now - self._nonempty_since if self._nonempty_since is not None else 0.0
+        if not ahead or nonempty_seconds < MIN_NONEMPTY_SECONDS * self.wait_factor:
             return 0.0
-        window = min(busy, RATE_WINDOW_SECONDS * self.pace)
-        recent = [p for at, p in self._admissions if now - at <= window]
+        window_seconds = min(nonempty_seconds, RATE_WINDOW_SECONDS * self.wait_factor)
+        recent_priorities = [
+            admitted_priority
+            for admitted_at, admitted_priority in self._recent_admissions
+            if now - admitted_at <= window_seconds
+        ]
         return max(
-            _seconds(ahead, len(recent), window),
-            _seconds(self.queue.waiting_in(priority), recent.count(priority), window),
+            _drain_seconds(ahead, len(recent_priorities), window_seconds),
+            _drain_seconds(
+                self.fair_queue.waiting_in(priority),
+                recent_priorities.count(priority),
+                window_seconds,
+            ),
         )
 
-    def _forget_old(self, now: float) -> None:
-        window = RATE_WINDOW_SECONDS * self.pace
-        while self._admissions and now - self._admissions[0][0] > window:
-            self._admissions.popleft()
+    def _drop_expired_admissions(self, now: float) -> None:
+        window_seconds = RATE_WINDOW_SECONDS * self.wait_factor
+        while self._recent_admissions and now - self._recent_admissions[0][0] > window_seconds:
+            self._recent_admissions.popleft()
 
 
-def _seconds(ahead: int, admissions: int, window: float) -> float:
-    return ahead * window / max(1, admissions)
+def _drain_seconds(ahead: int, admissions: int, window_seconds: float) -> float:
+    return ahead * window_seconds / max(1, admissions)
--- a/packages/quinceferry-daemon/src/quinceferryd/scheduling.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/scheduling.py
@@ -16,7 +16,7 @@
     WorkspaceId,
 )
 from quinceferry_core.outcomes import Failed, RefusalReason
-from quinceferryd.admission import Admission, Admitted, refusal_of
+from quinceferryd.admission import Admission, Admitted, unsent_refusal
 from quinceferryd.blackboard import Blackboard
 from quinceferryd.choices import UpstreamChooser
 from quinceferryd.controllers import TaskGroupController
@@ -24,24 +24,24 @@
 from quinceferryd.shares import UPDATE_INTERVAL_SECONDS, LimitShares
 from quinceferryd.tracking import UpstreamTracker
 
-PUMP_INTERVAL_SECONDS = 0.05
+QUEUE_INTERVAL_SECONDS = 0.05
 """How often waiting requests are looked at when nothing else wakes the queue."""
 NO_UPSTREAM_RETRY_SECONDS = 5.0
 
 
 @dataclass(slots=True, eq=False)
 class Permit:
-    """Admission of one request; :meth:`leave` must be called when it ends."""
+    """Admission of one request; :meth:`release` must be called when it ends."""
 
     request: CallerRequest
     tokens: int
     _scheduler: "Scheduler"
-    _left: bool = False
+    _released: bool = False
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """Give the place back; idempotent."""
-        if not self._left:
-            self._left = True
+        if not self._released:
+            self._released = True
             self._scheduler.release(self)
 
 
@@ -67,7 +67,7 @@
         clock: Clock,
         rng: random.Random,
         settings: RoutingSettings,
-        homes: int = 3,
+        routers_per_workspace: int = 3,
     ) -> None:
         super().__init__()
         self._clock = clock
@@ -75,16 +75,16 @@
         self.tracker = UpstreamTracker(blackboard, clock, settings)
         self.chooser = UpstreamChooser(self.tracker, rng, settings, blackboard.identity.zone)
         self.admission = Admission(self.tracker, self.chooser, clock, settings)
-        self.shares = LimitShares(blackboard, clock, homes)
+        self.shares = LimitShares(blackboard, clock, routers_per_workspace)
         self.counters = SchedulerCounters()
-        self._places: dict[tuple[WorkspaceId, RequestId], UpstreamSpec] = {}
+        self._reserved_upstreams_by_key: dict[tuple[WorkspaceId, RequestId], UpstreamSpec] = {}
 
     async def start(self) -> None:
         """Start the loops that move the queue and the limit claims."""
-        self.spawn(self._pump_forever(), "scheduler pump")
+        self.spawn(self._process_queue_forever(), "scheduler pump")
         self.spawn(self._update_shares_forever(), "limit shares")
 
-    async def enter(self, request: CallerRequest, tokens: int) -> Result[Permit, Failed]:
+    async def admit(self, request: CallerRequest, tokens: int) -> Result[Permit, Failed]:
         """Admit a request, or refuse it at once.
 
         :param request: the request.
@@ -93,7 +93,7 @@
         """
         refusal = self.shares.refusal(request, tokens) or self._target_refusal(request)
         if refusal is not None:
-            return self._refuse(request, refusal)
+            return self._count_refusal(request, refusal)
         self.shares.take(request, tokens)
         try:
             admitted = await self.admission.admit(request, tokens)
@@ -102,12 +102,12 @@
             raise
         match admitted:
             case Admitted(upstream=upstream):
-                self._places[request.workspace, request.request_id] = upstream
+                self._reserved_upstreams_by_key[request.workspace, request.request_id] = upstream
                 self.counters.admitted[request.priority] += 1
                 return Success(Permit(request, tokens, self))
             case Failed() as refusal:
                 self.shares.give_back(request, tokens)
-                return self._refuse(request, refusal)
+                return self._count_refusal(request, refusal)
 
     def choose(
         self, request: CallerRequest, excluded: frozenset[UpstreamId] = frozenset()
@@ -120,45 +120,51 @@
         :param request: the request.
         :param excluded: upstreams that must not be chosen again.
         """
-        place = self._places.pop((request.workspace, request.request_id), None)
-        if place is not None:
-            if place.id not in excluded and not self.tracker.is_leaving(place):
-                return Success(place)
-            self.tracker.ended(request, place.id)
+        reserved = self._reserved_upstreams_by_key.pop(
+            (request.workspace, request.request_id), None
+        )
+        if reserved is not None:
+            if reserved.id not in excluded and not self.tracker.is_leaving(reserved):
+                return Success(reserved)
+            self.tracker.record_ended(request, reserved.id)
         upstream = self.chooser.choose(request, excluded)
-        return Failure(self._no_upstream(request)) if upstream is None else Success(upstream)
+        return (
+            Failure(self._no_upstream_refusal(request)) if upstream is None else Success(upstream)
+        )
 
-    def sent(self, request: CallerRequest, upstream: UpstreamId) -> None:
+    def record_sent(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note that a request will go to an upstream once its dispatch is recorded."""
-        self.tracker.sent(request, upstream)
+        self.tracker.record_sent(request, upstream)
 
-    def dispatched(self, request: CallerRequest, upstream: UpstreamId) -> None:
+    def record_dispatched(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note that the first byte of a request is about to leave for an upstream."""
-        self.tracker.dispatched(request, upstream)
+        self.tracker.record_dispatched(request, upstream)
 
-    def first_token(self, request: CallerRequest, upstream: UpstreamId) -> None:
+    def record_first_token(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note the first token of an answer."""
-        self.tracker.first_token(request, upstream)
+        self.tracker.record_first_token(request, upstream)
 
-    def ended(self, request: CallerRequest, upstream: UpstreamId) -> None:
+    def record_ended(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note that a request has left an upstream."""
-        self.tracker.ended(request, upstream)
+        self.tracker.record_ended(request, upstream)
 
     def release(self, permit: Permit) -> None:
         """Give back a permit's place; called by the permit."""
         request = permit.request
-        place = self._places.pop((request.workspace, request.request_id), None)
-        if place is not None:
-            self.tracker.ended(request, place.id)
+        reserved = self._reserved_upstreams_by_key.pop(
+            (request.workspace, request.request_id), None
+        )
+        if reserved is not None:
+            self.tracker.record_ended(request, reserved.id)
         self.shares.leave(request)
-        self.admission.pump()
+        self.admission.process_queue()
 
-    async def _pump_forever(self) -> None:
+    async def _process_queue_forever(self) -> None:
         """Look at waiting requests again and again; an idle router does not wake for it."""
         while True:
-            await self.admission.wait_for_waiting()
-            await self._clock.sleep(PUMP_INTERVAL_SECONDS)
-            self.admission.pump()
+            await self.admission.wait_until_queued()
+            await self._clock.sleep(QUEUE_INTERVAL_SECONDS)
+            self.admission.process_queue()
 
     async def _update_shares_forever(self) -> None:
         while True:
@@ -166,24 +172,24 @@
             await self._clock.sleep(UPDATE_INTERVAL_SECONDS)
 
     def _target_refusal(self, request: CallerRequest) -> Failed | None:
-        if self.tracker.staying(request):
+        if self.tracker.non_leaving_upstreams(request):
             return None
-        self.tracker.lacks_target = True
-        return self._no_upstream(request)
+        self.tracker.has_unserved_target = True
+        return self._no_upstream_refusal(request)
 
-    def _no_upstream(self, request: CallerRequest) -> Failed:
-        if self.tracker.serving(request):
-            return refusal_of(
+    def _no_upstream_refusal(self, request: CallerRequest) -> Failed:
+        if self.tracker.serving_upstreams(request):
+            return unsent_refusal(
                 RefusalReason.NO_UPSTREAM,
                 NO_UPSTREAM_RETRY_SECONDS,
                 "every upstream that serves the target is leaving or has failed this request",
             )
-        return refusal_of(
+        return unsent_refusal(
             RefusalReason.MODEL_NOT_LOADED,
             NO_UPSTREAM_RETRY_SECONDS,
             "no upstream has the target loaded",
         )
 
-    def _refuse(self, request: CallerRequest, refusal: Failed) -> Result[Permit, Failed]:
+    def _count_refusal(self, request: CallerRequest, refusal: Failed) -> Result[Permit, Failed]:
         self.counters.refused[request.priority, refusal.reason] += 1
         return Failure(refusal)
--- a/packages/quinceferry-daemon/src/quinceferryd/tracking.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/tracking.py
@@ -21,32 +21,32 @@
 )
 from quinceferryd.blackboard import Blackboard, UpstreamStatus
 from quinceferryd.settings import RoutingSettings
-from quinceferryd.upstream_views import UpstreamView, prompt_tokens
+from quinceferryd.upstream_views import UpstreamView, estimate_prompt_tokens
 
-HEADROOM_BY_PRIORITY = {Priority.HIGH: 0.125, Priority.NORMAL: -0.1875, Priority.LOW: -0.25}
+HEADROOM_SHARE_BY_PRIORITY = {Priority.HIGH: 0.125, Priority.NORMAL: -0.1875, Priority.LOW: -0.25}
 """Part of an engine's slots that a class may fill beyond them, or must leave free."""
 RETENTION_SECONDS = 60.0
 """How long an upstream that is no longer polled is remembered."""
 LOAD_CACHE_SECONDS = 0.02
 """How long a corrected load is used again, unless something was sent, ended or reported."""
-IDLE_SHARE = 0.05
+IDLE_SLOT_SHARE = 0.05
 """Part of its slots below which an engine with nothing queued counts as idle."""
-HELD_SHARE = 0.6
+MIN_CACHED_BLOCK_SHARE = 0.6
 """Part of a prompt's blocks that must be cached for its prefix to count as held."""
 
 
 @dataclass(slots=True)
-class _Record:
+class _UpstreamHistory:
     """Own history with one upstream; times are in monotonic seconds."""
 
     backlog: PrefillBacklog
     ledger: SentLedger = field(default_factory=SentLedger)
     prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     growth_per_second: float = 0.0
-    others: int = 0
-    corrected: CorrectedLoad | None = None
+    others_load: int = 0
+    corrected_load: CorrectedLoad | None = None
     corrected_at: float = 0.0
-    long_keys: set[RequestKey] = field(default_factory=set)
+    long_prompt_keys: set[RequestKey] = field(default_factory=set)
 
 
 class UpstreamTracker(UpstreamView):
@@ -54,186 +54,199 @@
 
     def __init__(self, blackboard: Blackboard, clock: Clock, settings: RoutingSettings) -> None:
         super().__init__(blackboard, clock, settings)
-        self._records_by_id: dict[UpstreamId, _Record] = {}
+        self._histories_by_id: dict[UpstreamId, _UpstreamHistory] = {}
 
     def load(self, upstream: UpstreamId) -> CorrectedLoad:
         """Return the load of an upstream now, corrected by own history."""
-        record = self._record(upstream)
+        history = self._history(upstream)
         now = self._clock.monotonic()
-        if record.corrected is None or now - record.corrected_at > LOAD_CACHE_SECONDS:
-            record.corrected = self._correct_load(upstream, record, now)
-            record.corrected_at = now
-        return record.corrected
-
-    def _correct_load(self, upstream: UpstreamId, record: _Record, now: float) -> CorrectedLoad:
+        if history.corrected_load is None or now - history.corrected_at > LOAD_CACHE_SECONDS:
+            history.corrected_load = self._correct_load(upstream, history, now)
+            history.corrected_at = now
+        return history.corrected_load
+
+    def _correct_load(
+        self, upstream: UpstreamId, history: _UpstreamHistory, now: float
+    ) -> CorrectedLoad:
         status = self.status(upstream)
         return correct_load(
             status.report,
             status.reported_at - self._settings.load_report_lag_seconds,
             now,
-            record.ledger,
-            routers=self.routers(),
+            history.ledger,
+            routers=self.router_count(),
             prefill_rate=self._settings.prefill_tokens_per_second,
             default_slots=self._settings.default_slots,
         )
 
-    def room(self, upstream: UpstreamId, headroom: float, is_long: bool) -> float:
+    def free_slots(self, upstream: UpstreamId, headroom_share: float, is_long: bool) -> float:
         """Return how many more requests this router may send to an upstream.
 
         :param headroom: part of the slots that may be filled beyond them; negative keeps some free.
         :param is_long: long prompts wait for the backlog of an idle engine, too.
         """
         load = self.load(upstream)
-        record = self._record(upstream)
+        history = self._history(upstream)
         age = self._clock.monotonic() - self.status(upstream).reported_at
-        growth = record.growth_per_second * min(age, self._settings.max_report_age_seconds)
-        usable = load.slots * (1.0 + headroom)
-        room = free_room(load, usable, record.ledger.in_flight(), self.routers(), growth)
-        if headroom > 0 or (not is_long and self._is_idle(upstream, load)):
-            return room
-        unread = max(record.backlog.tokens(self._clock.monotonic()), self._reported(upstream))
-        return room if unread < self._prefill_backlog() else 0.0
-
-    def takes_long(self, upstream: UpstreamId) -> bool:
+        expected_growth = history.growth_per_second * min(
+            age, self._settings.max_report_age_seconds
+        )
+        usable_slots = load.slots * (1.0 + headroom_share)
+        free_slots = free_room(
+            load, usable_slots, history.ledger.in_flight(), self.router_count(), expected_growth
+        )
+        if headroom_share > 0 or (not is_long and self._is_idle(upstream, load)):
+            return free_slots
+        uncached_tokens = max(
+            history.backlog.tokens(self._clock.monotonic()),
+            self._reported_uncached_tokens(upstream),
+        )
+        return free_slots if uncached_tokens < self._max_backlog_tokens() else 0.0
+
+    def accepts_long_prompt(self, upstream: UpstreamId) -> bool:
         """Return whether long prompts that an upstream must read whole leave it a free part."""
-        allowed = max(1.0, self._settings.long_work_share * self.load(upstream).slots)
-        return len(self._record(upstream).long_keys) < allowed
+        max_long_prompts = max(1.0, self._settings.long_work_share * self.load(upstream).slots)
+        return len(self._history(upstream).long_prompt_keys) < max_long_prompts
 
     def _is_idle(self, upstream: UpstreamId, load: CorrectedLoad) -> bool:
         """Return whether an upstream says that it reads prompts as fast as they come."""
         report = self.status(upstream).report
-        is_unqueued = report is not None and not (report.queued_tokens or report.waiting)
-        return is_unqueued and load.occupied < IDLE_SHARE * load.slots
+        has_empty_queue = report is not None and not (report.queued_tokens or report.waiting)
+        return has_empty_queue and load.occupied < IDLE_SLOT_SHARE * load.slots
 
-    def _reported(self, upstream: UpstreamId) -> float:
+    def _reported_uncached_tokens(self, upstream: UpstreamId) -> float:
         """Return this router's part of the unread prompt tokens that an upstream reported."""
         status = self.status(upstream)
         if status.report is None:
             return 0.0
         sampled_at = status.reported_at - self._settings.load_report_lag_seconds
-        own = self._record(upstream).ledger.prefill_tokens_at(sampled_at)
-        read = self._settings.prefill_tokens_per_second * (self._clock.monotonic() - sampled_at)
-        return min(own, status.report.queued_tokens) - read
+        own_tokens = self._history(upstream).ledger.prefill_tokens_at(sampled_at)
+        prefilled_tokens = self._settings.prefill_tokens_per_second * (
+            self._clock.monotonic() - sampled_at
+        )
+        return min(own_tokens, status.report.queued_tokens) - prefilled_tokens
 
-    def room_for(self, request: CallerRequest, upstream: UpstreamId) -> float:
+    def free_slots_for(self, request: CallerRequest, upstream: UpstreamId) -> float:
         """Return how many more requests like this one an upstream may get."""
-        return self.room(upstream, HEADROOM_BY_PRIORITY[request.priority], self.is_long(request))
+        return self.free_slots(
+            upstream, HEADROOM_SHARE_BY_PRIORITY[request.priority], self.is_long(request)
+        )
 
     def cached_tokens(self, upstream: UpstreamId, hashes: tuple[int, ...], tokens: int) -> int:
         """Return how many of a prompt's tokens are believed to be in an upstream's cache."""
         if not hashes:
             return 0
-        matched = self._record(upstream).prefixes.matched_blocks(hashes)
+        matched = self._history(upstream).prefixes.matched_blocks(hashes)
         return tokens * matched // (len(hashes) + 1)
 
-    def holds_prefix(self, upstream: UpstreamId, hashes: tuple[int, ...]) -> bool:
+    def has_cached_prefix(self, upstream: UpstreamId, hashes: tuple[int, ...]) -> bool:
         """Return whether most of a prompt's blocks are believed to be in an upstream's cache."""
-        matched = self._record(upstream).prefixes.matched_blocks(hashes)
-        return matched >= HELD_SHARE * len(hashes)
+        matched = self._history(upstream).prefixes.matched_blocks(hashes)
+        return matched >= MIN_CACHED_BLOCK_SHARE * len(hashes)
 
-    def sent(self, request: CallerRequest, upstream: UpstreamId) -> None:
+    def record_sent(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note that a request will be sent, once its dispatch is recorded; a repeat does nothing.
 
         A repeat would find the prompt in the cache that the first call has just noted it in.
         """
-        record = self._record(upstream)
+        history = self._history(upstream)
         key = request_key(request)
-        if key in record.ledger.in_flight_by_key:
+        if key in history.ledger.in_flight_by_key:
             return
         hashes = prefix_hashes(request.target, request.prompt)
-        tokens = prompt_tokens(request)
+        tokens = estimate_prompt_tokens(request)
         uncached = max(1, tokens - self.cached_tokens(upstream, hashes, tokens))
-        record.corrected = None
-        record.ledger.placed(key, uncached)
-        record.backlog.placed(key, uncached, self._clock.monotonic())
-        record.prefixes.record_sent(hashes)
+        history.corrected_load = None
+        history.ledger.placed(key, uncached)
+        history.backlog.placed(key, uncached, self._clock.monotonic())
+        history.prefixes.record_sent(hashes)
         if uncached >= self._settings.long_prompt_tokens:
-            record.long_keys.add(key)
+            history.long_prompt_keys.add(key)
 
-    def dispatched(self, request: CallerRequest, upstream: UpstreamId) -> None:
+    def record_dispatched(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note that a request's dispatch is recorded and its first byte is leaving."""
-        record = self._record(upstream)
-        record.corrected = None
-        record.ledger.sent(request_key(request), self._clock.monotonic())
-        record.backlog.dispatched(request_key(request), self._clock.monotonic())
+        history = self._history(upstream)
+        history.corrected_load = None
+        history.ledger.sent(request_key(request), self._clock.monotonic())
+        history.backlog.dispatched(request_key(request), self._clock.monotonic())
 
-    def first_token(self, request: CallerRequest, upstream: UpstreamId) -> None:
+    def record_first_token(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note the first token of an answer."""
-        record = self._record(upstream)
-        record.corrected = None
-        record.ledger.first_token(request_key(request), self._clock.monotonic())
-        record.backlog.left(request_key(request))
+        history = self._history(upstream)
+        history.corrected_load = None
+        history.ledger.first_token(request_key(request), self._clock.monotonic())
+        history.backlog.left(request_key(request))
 
-    def ended(self, request: CallerRequest, upstream: UpstreamId) -> None:
+    def record_ended(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note that a request has left an upstream."""
-        record = self._record(upstream)
-        record.corrected = None
-        record.ledger.ended(request_key(request), self._clock.monotonic())
-        record.backlog.left(request_key(request))
-        record.long_keys.discard(request_key(request))
+        history = self._history(upstream)
+        history.corrected_load = None
+        history.ledger.ended(request_key(request), self._clock.monotonic())
+        history.backlog.left(request_key(request))
+        history.long_prompt_keys.discard(request_key(request))
 
-    def failed(self, upstream: UpstreamId) -> None:
+    def record_failure(self, upstream: UpstreamId) -> None:
         """Note that a connection to an upstream failed."""
         status = self.status(upstream)
         status.failures += 1
         status.failed_at = self._clock.monotonic()
 
-    def succeeded(self, upstream: UpstreamId) -> None:
+    def record_success(self, upstream: UpstreamId) -> None:
         """Note that an upstream answered."""
         self.status(upstream).failures = 0
 
     def apply_report(self, upstream: UpstreamId, report: LoadReport) -> None:
         """Store a load report that has just arrived."""
         status = self.status(upstream)
-        record = self._record(upstream)
+        history = self._history(upstream)
         now = self._clock.monotonic()
         elapsed = now - status.reported_at
         status.report, status.reported_at = report, now
-        record.corrected = None
-        others = self.load(upstream).others
-        record.growth_per_second = smoothed_growth(
-            record.growth_per_second, record.others, others, elapsed
+        history.corrected_load = None
+        others_load = self.load(upstream).others
+        history.growth_per_second = smoothed_growth(
+            history.growth_per_second, history.others_load, others_load, elapsed
         )
-        record.others = others
+        history.others_load = others_load
 
     def apply_events(self, upstream: UpstreamId, events: tuple[CacheEvent, ...]) -> None:
         """Apply cache events."""
-        self._record(upstream).prefixes.apply(events)
+        self._history(upstream).prefixes.apply(events)
 
-    def last_event(self, upstream: UpstreamId) -> int:
+    def last_event_sequence(self, upstream: UpstreamId) -> int:
         """Return the sequence of the latest cache event applied."""
-        return self._record(upstream).prefixes.last_sequence
+        return self._history(upstream).prefixes.last_sequence
 
     def in_flight(self, upstream: UpstreamId) -> int:
         """Return how many of this router's requests an upstream holds."""
-        return self._record(upstream).ledger.in_flight()
+        return self._history(upstream).ledger.in_flight()
 
-    def forget_unused(self) -> None:
+    def remove_unused(self) -> None:
         """Drop what is known of upstreams that are not configured, or silent, and hold nothing."""
         configured = self._blackboard.configuration.upstreams_by_id
         for upstream, status in list(self._blackboard.upstreams_by_id.items()):
-            if upstream in configured and not self._is_forgettable(status):
+            if upstream in configured and not self._is_removable(status):
                 continue
             if not self.in_flight(upstream):
-                self._records_by_id.pop(upstream, None)
+                self._histories_by_id.pop(upstream, None)
                 del self._blackboard.upstreams_by_id[upstream]
 
-    def _is_forgettable(self, status: UpstreamStatus) -> bool:
+    def _is_removable(self, status: UpstreamStatus) -> bool:
         """Return whether an upstream has not reported for long and nothing is to be remembered."""
-        silent_since = max(status.reported_at, status.failed_at)
-        is_silent = self._clock.monotonic() - silent_since > RETENTION_SECONDS
-        return is_silent and not status.leaving and not status.told_leaving
+        last_seen_at = max(status.reported_at, status.failed_at)
+        is_expired = self._clock.monotonic() - last_seen_at > RETENTION_SECONDS
+        return is_expired and not status.leaving and not status.told_leaving
 
-    def _prefill_backlog(self) -> float:
+    def _max_backlog_tokens(self) -> float:
         """Return this router's part of the prompt tokens that may wait at one engine."""
         backlog = self._settings.max_prefill_backlog_seconds
-        return self._settings.prefill_tokens_per_second * backlog / self.routers()
+        return self._settings.prefill_tokens_per_second * backlog / self.router_count()
 
-    def _record(self, upstream: UpstreamId) -> _Record:
-        if upstream not in self._records_by_id:
+    def _history(self, upstream: UpstreamId) -> _UpstreamHistory:
+        if upstream not in self._histories_by_id:
             backlog = PrefillBacklog(self._settings.prefill_tokens_per_second)
-            self._records_by_id[upstream] = _Record(backlog)
-        return self._records_by_id[upstream]
+            self._histories_by_id[upstream] = _UpstreamHistory(backlog)
+        return self._histories_by_id[upstream]
 
 
 def request_key(request: CallerRequest) -> RequestKey:
--- a/packages/quinceferry-daemon/src/quinceferryd/upstream_views.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/upstream_views.py
@@ -20,7 +20,7 @@
 """Rough size of a token, for costs only; budgets are reserved by an upper bound instead."""
 MAX_COOLDOWN_SECONDS = 30.0
 """Longest time an upstream counts as failing after its last failure."""
-MAX_WANTED_REPORTS = 4
+MAX_REQUESTED_REPORTS = 4
 """Stale reports asked for at once when no fresh one is left."""
 
 MAX_LONG_WORK_UPSTREAM_SHARE = 2 / 3
@@ -39,15 +39,15 @@
         self._blackboard = blackboard
         self._clock = clock
         self._settings = settings
-        self._indexed: Configuration | None = None
+        self._indexed_configuration: Configuration | None = None
         self._services_by_name: dict[str, list[UpstreamSpec]] = {}
-        self.wanted_reports: set[UpstreamId] = set()
+        self.requested_reports: set[UpstreamId] = set()
         """Upstreams whose load report is needed at once; emptied by the load controller."""
-        self.lacks_target = False
+        self.has_unserved_target = False
         """Whether a request found no known upstream for its target; reset by the load controller,
         which then looks at more of the others."""
 
-    def eligible(
+    def eligible_upstreams(
         self, request: CallerRequest, excluded: frozenset[UpstreamId] = frozenset()
     ) -> list[UpstreamSpec]:
         """Return the upstreams that may get the request now.
@@ -55,58 +55,64 @@
         They serve its target, are not leaving, and have a fresh load report, since a stale one may
         hide that the upstream is leaving. When all reports are stale, some are asked for.
         """
-        staying = [spec for spec in self.staying(request) if spec.id not in excluded]
-        fresh = [spec for spec in staying if self.is_reporting(spec)]
+        non_leaving = [
+            spec for spec in self.non_leaving_upstreams(request) if spec.id not in excluded
+        ]
+        fresh = [spec for spec in non_leaving if self.has_fresh_report(spec)]
         if not fresh:
-            self.wanted_reports.update(spec.id for spec in staying[:MAX_WANTED_REPORTS])
+            self.requested_reports.update(spec.id for spec in non_leaving[:MAX_REQUESTED_REPORTS])
         return fresh
 
-    def long_work_upstreams(self, among: list[UpstreamSpec]) -> set[UpstreamId]:
+    def long_work_upstreams(self, specs: list[UpstreamSpec]) -> set[UpstreamId]:
         """Return the few upstreams that long work is sent to first; every router names the same.
 
         A long prompt holds up an engine's prefill and evicts what its cache holds.
         """
-        return set(self._long_work_order(among)[: self._long_work_count(len(among))])
+        return set(self._long_work_order(specs)[: self._long_work_count(len(specs))])
 
-    def spill_upstreams(self, among: list[UpstreamSpec]) -> set[UpstreamId]:
+    def overflow_upstreams(self, specs: list[UpstreamSpec]) -> set[UpstreamId]:
         """Return the upstreams that take long work while the first few have no room for it.
 
         The others are left to live work.
         """
-        first = self._long_work_count(len(among))
-        most = max(first, math.floor(MAX_LONG_WORK_UPSTREAM_SHARE * len(among)))
-        return set(self._long_work_order(among)[first:most])
+        first_count = self._long_work_count(len(specs))
+        max_count = max(first_count, math.floor(MAX_LONG_WORK_UPSTREAM_SHARE * len(specs)))
+        return set(self._long_work_order(specs)[first_count:max_count])
 
     def _long_work_count(self, upstreams: int) -> int:
         return math.ceil(self._settings.long_work_upstream_share * upstreams)
 
     @staticmethod
-    def _long_work_order(among: list[UpstreamSpec]) -> list[UpstreamId]:
-        return rendezvous_order(_LONG_WORK_KEY, [spec.id for spec in among])
+    def _long_work_order(specs: list[UpstreamSpec]) -> list[UpstreamId]:
+        return rendezvous_order(_LONG_WORK_KEY, [spec.id for spec in specs])
 
-    def staying(self, request: CallerRequest) -> list[UpstreamSpec]:
+    def non_leaving_upstreams(self, request: CallerRequest) -> list[UpstreamSpec]:
         """Return the upstreams that serve the request's target and are not leaving."""
-        return [spec for spec in self.serving(request) if not self.is_leaving(spec)]
+        return [spec for spec in self.serving_upstreams(request) if not self.is_leaving(spec)]
 
-    def serving(self, request: CallerRequest) -> list[UpstreamSpec]:
+    def serving_upstreams(self, request: CallerRequest) -> list[UpstreamSpec]:
         """Return the upstreams known to have the request's target, leaving or not."""
         specs_by_id = self._blackboard.configuration.upstreams_by_id
         if request.kind is RequestKind.SERVICE:
-            return self._services(request.target.model)
-        known = [specs_by_id[u] for u in self._blackboard.upstreams_by_id if u in specs_by_id]
-        return [spec for spec in known if self._has_loaded(spec, request)]
+            return self._services_named(request.target.model)
+        known_specs = [
+            specs_by_id[upstream]
+            for upstream in self._blackboard.upstreams_by_id
+            if upstream in specs_by_id
+        ]
+        return [spec for spec in known_specs if self._has_loaded(spec, request)]
 
     def is_leaving(self, spec: UpstreamSpec) -> bool:
         """Return whether any sign says that an upstream is leaving."""
-        return self.status(spec.id).told_leaving or self.sees_leaving(spec)
+        return self.status(spec.id).told_leaving or self.is_observed_leaving(spec)
 
-    def sees_leaving(self, spec: UpstreamSpec) -> bool:
+    def is_observed_leaving(self, spec: UpstreamSpec) -> bool:
         """Return whether the VM list or the upstream itself says so, not another router."""
         status = self.status(spec.id)
         vm = self._blackboard.vms_by_id.get(spec.vm)
-        listed = vm is not None and vm.state is VmState.LEAVING
-        reported = status.report is not None and status.report.leaving
-        return status.leaving or listed or reported
+        is_listed_leaving = vm is not None and vm.state is VmState.LEAVING
+        is_reported_leaving = status.report is not None and status.report.leaving
+        return status.leaving or is_listed_leaving or is_reported_leaving
 
     def is_failing(self, upstream: UpstreamId) -> bool:
         """Return whether an upstream failed lately; the time grows with each failure in a row."""
@@ -118,13 +124,13 @@
 
     def is_long(self, request: CallerRequest) -> bool:
         """Return whether a request counts as long work."""
-        return prompt_tokens(request) >= self._settings.long_prompt_tokens
+        return estimate_prompt_tokens(request) >= self._settings.long_prompt_tokens
 
     def status(self, upstream: UpstreamId) -> UpstreamStatus:
         """Return the upstream's entry on the blackboard, made when missing."""
         return self._blackboard.upstreams_by_id.setdefault(upstream, UpstreamStatus())
 
-    def is_reporting(self, spec: UpstreamSpec) -> bool:
+    def has_fresh_report(self, spec: UpstreamSpec) -> bool:
         """Return whether an upstream's load report is fresh; a service need not report."""
         status = self.status(spec.id)
         if status.report is None:
@@ -138,22 +144,22 @@
             return False
         return model_is_loaded(request.target, report.loaded)
 
-    def _services(self, name: str) -> list[UpstreamSpec]:
+    def _services_named(self, name: str) -> list[UpstreamSpec]:
         """Return the plain services of a name, indexed anew with each configuration."""
         configuration = self._blackboard.configuration
-        if self._indexed is not configuration:
-            self._indexed = configuration
+        if self._indexed_configuration is not configuration:
+            self._indexed_configuration = configuration
             self._services_by_name = {}
             for spec in configuration.upstreams_by_id.values():
                 if spec.kind is UpstreamKind.SERVICE:
                     self._services_by_name.setdefault(spec.service, []).append(spec)
         return self._services_by_name.get(name, [])
 
-    def routers(self) -> int:
+    def router_count(self) -> int:
         """Return the number of live routers, this one included."""
         return max(1, len(self._blackboard.members_by_incarnation))
 
 
-def prompt_tokens(request: CallerRequest) -> int:
+def estimate_prompt_tokens(request: CallerRequest) -> int:
     """Estimate the prompt's tokens, for costs only."""
     return max(1, len(request.prompt or request.body) // CHARS_PER_TOKEN)
--- a/packages/quinceferry-lab/src/quinceferry_lab/routing_load.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/routing_load.py
@@ -146,7 +146,7 @@
         return self._rng.randbytes(tokens * BYTES_PER_TOKEN // 2).hex()
 
 
-class _HeedlessTracker(UpstreamTracker):
+class _IgnoreLeavingTracker(UpstreamTracker):
     """Tracker that does not heed the signs of leaving."""
 
     def is_leaving(self, spec: UpstreamSpec) -> bool:
@@ -163,12 +163,12 @@
         clock: Clock,
         rng: random.Random,
         settings: RoutingSettings,
-        homes: int = 3,
+        routers_per_workspace: int = 3,
     ) -> None:
-        super().__init__(blackboard, clock, rng, settings, homes)
-        self.tracker = _HeedlessTracker(blackboard, clock, settings)
+        super().__init__(blackboard, clock, rng, settings, routers_per_workspace)
+        self.tracker = _IgnoreLeavingTracker(blackboard, clock, settings)
 
-    async def enter(self, request: CallerRequest, tokens: int) -> Result[Permit, Failed]:
+    async def admit(self, request: CallerRequest, tokens: int) -> Result[Permit, Failed]:
         """Admit at once."""
         return Success(Permit(request, tokens, self))
 
@@ -176,8 +176,12 @@
         self, request: CallerRequest, excluded: frozenset[UpstreamId] = frozenset()
     ) -> Result[UpstreamSpec, Failed]:
         """Choose at random among those that have the model loaded."""
-        serving = [spec for spec in self.tracker.serving(request) if spec.id not in excluded]
-        return Success(self.pick(serving)) if serving else Failure(self._no_upstream(request))
+        serving = [
+            spec for spec in self.tracker.serving_upstreams(request) if spec.id not in excluded
+        ]
+        return (
+            Success(self.pick(serving)) if serving else Failure(self._no_upstream_refusal(request))
+        )
 
     def pick(self, serving: list[UpstreamSpec]) -> UpstreamSpec:
         """Choose one of several upstreams."""
--- a/packages/quinceferry-lab/src/quinceferry_lab/routing_runs.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/routing_runs.py
@@ -162,14 +162,14 @@
 
     async def serve(self, caller: Caller) -> None:
         """Admit a request and stream its answer."""
-        admitted = await self.scheduler.enter(caller.request, len(caller.request.prompt))
+        admitted = await self.scheduler.admit(caller.request, len(caller.request.prompt))
         if isinstance(admitted, Failure):
             caller.refused = True
             return
         try:
             await self._relay(caller)
         finally:
-            admitted.unwrap().leave()
+            admitted.unwrap().release()
 
     async def _relay(self, caller: Caller) -> None:
         clock = VirtualClock()
