--- a/features/steps/prefill.py
+++ b/features/steps/prefill.py
@@ -15,7 +15,7 @@
 from quinceferry_core.queues import Waiting
 from quinceferry_lab.virtual_time import VirtualClock
 from quinceferry_standins.engine_settings import EngineSettings
-from quinceferryd.pools import TargetQueue
+from quinceferryd.target_queues import TargetQueue
 
 E0 = UpstreamId("e0")
 
--- a/features/steps/runs.py
+++ b/features/steps/runs.py
@@ -39,7 +39,7 @@
 
 @given("a reader of the run that has read {count:d} pieces")
 def given_reader(context, count):
-    context.reader = context.run.follow()
+    context.reader = context.run.replay()
     context.read = []
 
     async def read():
@@ -59,7 +59,7 @@
 @when("the store drops the text of the run")
 def when_dropped(context):
     context.clock.seconds += 301
-    assert context.store.find(KEY).text_dropped
+    assert context.store.find(KEY).answer_dropped
 
 
 @when("the same request is run again {seconds:d} seconds later")
@@ -84,7 +84,7 @@
 @then("a later reader of the run gets the same text and the end")
 def then_later_reader(context):
     async def read():
-        return [event async for event in context.run.follow()]
+        return [event async for event in context.run.replay()]
 
     *chunks, last = context.runner.run(read())
     assert "".join(chunk.text for chunk in chunks) == context.answer_text
--- a/features/steps/upstream_wire.py
+++ b/features/steps/upstream_wire.py
@@ -321,7 +321,7 @@
         transport.is_closing.return_value = False
         connection = HttpConnection()
         connection.connection_made(transport)
-        connection.send(b"", b"", head_only=False)
+        connection.send(b"", b"", has_no_body=False)
         _arrive(connection, b"HTTP/1.1 200 OK\r\n\r\n")
         arrived = 0
         while not transport.pause_reading.called and arrived < 2 * MAX_BUFFERED_BYTES:
--- a/packages/quinceferry-daemon/src/quinceferryd/admission.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/admission.py
@@ -10,8 +10,8 @@
 from quinceferry_core.prefixes import prefix_hashes
 from quinceferry_core.queues import Waiting
 from quinceferryd.choices import Availability, UpstreamChooser
-from quinceferryd.pools import TargetQueue
 from quinceferryd.settings import RoutingSettings
+from quinceferryd.target_queues import TargetQueue
 from quinceferryd.tracking import UpstreamTracker
 
 MAX_SCANNED_REQUESTS = 32
--- a/packages/quinceferry-daemon/src/quinceferryd/answers.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/answers.py
@@ -33,48 +33,48 @@
     """
 
     def __init__(self, kind: RequestKind, request_id: str, model: str, created: int) -> None:
-        self._chat = kind is RequestKind.CHAT
-        self._head = {
-            "id": f"{'chatcmpl' if self._chat else 'cmpl'}-{request_id}",
+        self._is_chat = kind is RequestKind.CHAT
+        self._common_fields = {
+            "id": f"{'chatcmpl' if self._is_chat else 'cmpl'}-{request_id}",
             "created": created,
             "model": model,
         }
-        self._chunk_object = "chat.completion.chunk" if self._chat else "text_completion"
-        head = _encode({**self._head, "object": self._chunk_object})[:-1]
-        field = b'"delta":{"content":' if self._chat else b'"text":'
+        self._chunk_object = "chat.completion.chunk" if self._is_chat else "text_completion"
+        head = _encode({**self._common_fields, "object": self._chunk_object})[:-1]
+        field = b'"delta":{"content":' if self._is_chat else b'"text":'
         self._before_text = b"data: " + head + b',"choices":[{"index":0,' + field
-        close = b"}" if self._chat else b""
+        close = b"}" if self._is_chat else b""
         self._after_text = close + b',"logprobs":null,"finish_reason":null}]}' + _EVENT_END
 
-    def first(self) -> bytes:
+    def opening_event(self) -> bytes:
         """Return the event that opens a streamed answer; empty for a text completion."""
-        if not self._chat:
+        if not self._is_chat:
             return b""
         delta = {"role": "assistant", "content": ""}
         return self._event([{"index": 0, "delta": delta, "finish_reason": None}])
 
-    def chunk(self, text: str) -> bytes:
+    def text_event(self, text: str) -> bytes:
         """Return the event of one piece of text."""
         return self._before_text + _encode(text) + self._after_text
 
-    def last(self, finish_reason: str) -> bytes:
+    def finish_event(self, finish_reason: str) -> bytes:
         """Return the event that ends the text."""
-        piece = {"delta": {}} if self._chat else {"text": ""}
+        piece = {"delta": {}} if self._is_chat else {"text": ""}
         return self._event([{"index": 0, **piece, "finish_reason": finish_reason}])
 
-    def usage(self, usage: Usage) -> bytes:
+    def usage_event(self, usage: Usage) -> bytes:
         """Return the event with the usage."""
         return self._event([], usage=_usage_document(usage))
 
-    def whole(self, text: str, finish_reason: str, usage: Usage) -> bytes:
+    def whole_document(self, text: str, finish_reason: str, usage: Usage) -> bytes:
         """Return the document of a whole answer."""
         message = {"role": "assistant", "content": text}
-        piece = {"message": message} if self._chat else {"text": text}
+        piece = {"message": message} if self._is_chat else {"text": text}
         choice = {"index": 0, **piece, "logprobs": None, "finish_reason": finish_reason}
         return _encode(
             {
-                **self._head,
-                "object": "chat.completion" if self._chat else "text_completion",
+                **self._common_fields,
+                "object": "chat.completion" if self._is_chat else "text_completion",
                 "choices": [choice],
                 "usage": _usage_document(usage),
             }
@@ -82,7 +82,12 @@
 
     def _event(self, choices: list[object], **fields: object) -> bytes:
         """Return one event."""
-        document = {**self._head, "object": self._chunk_object, "choices": choices, **fields}
+        document = {
+            **self._common_fields,
+            "object": self._chunk_object,
+            "choices": choices,
+            **fields,
+        }
         return b"data: " + _encode(document) + _EVENT_END
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/bodies.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/bodies.py
@@ -21,67 +21,69 @@
     def __init__(self, max_total_bytes: int) -> None:
         self._free_bytes = max_total_bytes
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Reserve bytes; false when too few are free."""
         if size > self._free_bytes:
             return False
         self._free_bytes -= size
         return True
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Release reserved bytes."""
         self._free_bytes += size
 
 
-class HeldBody:
+class BufferedBody:
     """A body whose bytes are reserved until it is released."""
 
-    __slots__ = ("_held_bytes", "_memory", "data")
+    __slots__ = ("_reserved_bytes", "_memory", "data")
 
     def __init__(self, memory: BodyMemory) -> None:
         self._memory = memory
-        self._held_bytes = 0
+        self._reserved_bytes = 0
         self.data = b""
 
     def grow(self, size: int) -> bool:
         """Reserve more bytes; false when too few are free."""
-        if not self._memory.take(size):
+        if not self._memory.reserve(size):
             return False
-        self._held_bytes += size
+        self._reserved_bytes += size
         return True
 
     def release(self) -> None:
         """Release all bytes; idempotent."""
-        self._memory.give_back(self._held_bytes)
-        self._held_bytes = 0
+        self._memory.release(self._reserved_bytes)
+        self._reserved_bytes = 0
 
 
 async def read_body(
     request: Request[Any, Any, Any], max_bytes: int, timeout_seconds: float, memory: BodyMemory
-) -> Result[HeldBody, Failed]:
+) -> Result[BufferedBody, Failed]:
     """Read a body within the bounds of one body and of all together.
 
     :param max_bytes: greatest size of this body.
     :param timeout_seconds: how long the whole body may take to arrive.
     :return: the body, which the caller must release.
     """
-    held = HeldBody(memory)
+    body = BufferedBody(memory)
     try:
         async with asyncio.timeout(timeout_seconds):
-            refused = await _fill(held, request, max_bytes)
+            failure = await _read_into(body, request, max_bytes)
     except TimeoutError:
         detail = f"the body did not arrive within {timeout_seconds:g} seconds"
-        refused = refusal(RefusalReason.DEADLINE_EXCEEDED, detail)
+        failure = refusal(RefusalReason.DEADLINE_EXCEEDED, detail)
     except BaseException:
-        held.release()
+        body.release()
         raise
-    if refused is not None:
-        held.release()
-        return Failure(refused)
-    return Success(held)
+    if failure is not None:
+        body.release()
+        return Failure(failure)
+    return Success(body)
 
 
-async def _fill(held: HeldBody, request: Request[Any, Any, Any], max_bytes: int) -> Failed | None:
+async def _read_into(
+    body: BufferedBody, request: Request[Any, Any, Any], max_bytes: int
+) -> Failed | None:
     """Read a body as it arrives; return why it is refused, if it is."""
     pieces: list[bytes] = []
     size = 0
@@ -89,9 +91,9 @@
         size += len(piece)
         if size > max_bytes:
             return refusal(RefusalReason.OVERSIZED, f"the body is larger than {max_bytes} bytes")
-        if not held.grow(len(piece)):
+        if not body.grow(len(piece)):
             detail = "too many large requests at once"
             return refusal(RefusalReason.MEMORY_FULL, detail, _MEMORY_RETRY_SECONDS)
         pieces.append(piece)
-    held.data = b"".join(pieces)
+    body.data = b"".join(pieces)
     return None
--- a/packages/quinceferry-daemon/src/quinceferryd/caller_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/caller_api.py
@@ -19,7 +19,7 @@
 from quinceferry_core.outcomes import Failed, RefusalReason, Unknown
 from quinceferryd.answers import AnswerFormat
 from quinceferryd.blackboard import RouterState
-from quinceferryd.bodies import BodyMemory, HeldBody, read_body
+from quinceferryd.bodies import BodyMemory, BufferedBody, read_body
 from quinceferryd.caller_documents import (
     AddressDocument,
     ModelDocument,
@@ -48,7 +48,7 @@
 
 HttpRequest = Request[Any, Any, Any]
 Reply = Result[ASGIApp, Failed]
-SinkMaker = Callable[[ResponseWriter], AnswerSink]
+SinkFactory = Callable[[ResponseWriter], AnswerSink]
 
 _NOT_READY_RETRY_SECONDS = 1.0
 _SERVICE_PATH_PARTS = 3
@@ -79,7 +79,7 @@
                 request, lambda body: self._complete(request, kind, body, workspace)
             )
 
-        return await self._answer(request, answer)
+        return await self._authenticate_and_answer(request, answer)
 
     async def serve(self, request: HttpRequest, service: str) -> ASGIApp:
         """Pass a request through to a plain service."""
@@ -89,76 +89,80 @@
                 request, lambda body: self._serve(request, service, body, workspace)
             )
 
-        return await self._answer(request, answer)
+        return await self._authenticate_and_answer(request, answer)
 
     async def outcome(self, request: HttpRequest, request_id: str) -> ASGIApp:
         """Tell a workspace what became of one of its own requests."""
 
         async def answer(workspace: WorkspaceSpec) -> Reply:
             pipeline = self._application.pipeline
-            known = await pipeline.outcome(workspace.id, RequestId(request_id))
-            if known is None:
+            outcome = await pipeline.outcome(workspace.id, RequestId(request_id))
+            if outcome is None:
                 detail = "this router knows no such request of this workspace"
                 return Failure(refusal(RefusalReason.REQUEST_NOT_FOUND, detail))
-            return Success(self._reply(outcome_document(request_id, known)))
+            return Success(self._json_response(outcome_document(request_id, outcome)))
 
-        return await self._answer(request, answer)
+        return await self._authenticate_and_answer(request, answer)
 
     async def address(self, request: HttpRequest) -> ASGIApp:
         """Tell a workspace which routers to use."""
 
         async def answer(workspace: WorkspaceSpec) -> Reply:
             zone = request.query_params.get("zone", "")
-            found = self._application.addresses.answer(workspace.id, zone)
-            if not found.addresses:
-                return Failure(_not_ready("no router of the fleet is serving"))
-            document = AddressDocument(tuple(found.addresses), found.ttl_seconds, found.ticket)
-            return Success(self._reply(document))
+            address_answer = self._application.addresses.answer(workspace.id, zone)
+            if not address_answer.addresses:
+                return Failure(_not_ready_refusal("no router of the fleet is serving"))
+            document = AddressDocument(
+                tuple(address_answer.addresses), address_answer.ttl_seconds, address_answer.ticket
+            )
+            return Success(self._json_response(document))
 
-        return await self._answer(request, answer)
+        return await self._authenticate_and_answer(request, answer)
 
     async def models(self, request: HttpRequest) -> ASGIApp:
         """List the models attached to a workspace."""
 
         async def answer(workspace: WorkspaceSpec) -> Reply:
             data = [ModelDocument(str(model)) for model in workspace.models]
-            return Success(self._reply(ModelListDocument(data)))
+            return Success(self._json_response(ModelListDocument(data)))
 
-        return await self._answer(request, answer)
+        return await self._authenticate_and_answer(request, answer)
 
-    async def _answer(
+    async def _authenticate_and_answer(
         self, request: HttpRequest, answer: Callable[[WorkspaceSpec], Awaitable[Reply]]
     ) -> ASGIApp:
         """Authenticate a caller and answer it."""
-        match self._workspace(request):
+        match self._authenticate(request):
             case Success(workspace):
                 reply = await answer(workspace)
             case Failure(failed):
-                return self._refuse(None, failed)
+                return self._error_response(None, failed)
         match reply:
             case Success(response):
                 return response
             case Failure(failed):
-                return self._refuse(workspace.id, failed)
+                return self._error_response(workspace.id, failed)
         raise AssertionError("a result is a success or a failure")
 
-    async def _with_body(self, request: HttpRequest, use: Callable[[HeldBody], Reply]) -> Reply:
+    async def _with_body(
+        self, request: HttpRequest, handle_body: Callable[[BufferedBody], Reply]
+    ) -> Reply:
         """Read the body and use it; it is released unless the response now holds it."""
         bounds = (self._settings.max_body_bytes, self._settings.body_timeout_seconds)
         match await read_body(request, *bounds, self._bodies):
             case Success(body):
-                reply = use(body)
+                reply = handle_body(body)
             case failure:
                 return failure
         if isinstance(reply, Failure):
             body.release()
         return reply
 
-    def _workspace(self, request: HttpRequest) -> Result[WorkspaceSpec, Failed]:
+    def _authenticate(self, request: HttpRequest) -> Result[WorkspaceSpec, Failed]:
         """Authenticate a caller."""
         blackboard = self._application.blackboard
         if blackboard.state is RouterState.STARTING:
-            return Failure(_not_joined(request))
+            return Failure(_not_joined_refusal(request))
         authorization = request.headers.get("authorization", "")
         workspace = self._keys.find(authorization, blackboard.configuration)
         if workspace is None:
@@ -166,70 +170,74 @@
         return Success(workspace)
 
     def _complete(
-        self, request: HttpRequest, kind: RequestKind, body: HeldBody, workspace: WorkspaceSpec
+        self, request: HttpRequest, kind: RequestKind, body: BufferedBody, workspace: WorkspaceSpec
     ) -> Reply:
         """Validate a completion request and return the response that runs it."""
         configuration = self._application.blackboard.configuration
-        options = self._options.read(request.headers, workspace, "POST", safe=True)
+        options = self._options.read(request.headers, workspace, "POST", idempotent_by_default=True)
         call = options.bind(
             lambda read: read_completion(kind, body.data, read, workspace, configuration)
         )
-        return call.map(lambda call: self._run(call.request, body, self._completion_sink(call)))
+        return call.map(
+            lambda call: self._run(call.request, body, self._completion_sink_factory(call))
+        )
 
     def _serve(
         self,
         request: HttpRequest,
         service: str,
-        body: HeldBody,
+        body: BufferedBody,
         workspace: WorkspaceSpec,
     ) -> Reply:
         """Validate a request to a plain service and return the response that runs it."""
         target = _service_target(request)
         content_type = request.headers.get("content-type", "")
         method = request.method
-        options = self._options.read(request.headers, workspace, method, safe=False)
+        options = self._options.read(
+            request.headers, workspace, method, idempotent_by_default=False
+        )
         call = options.bind(
             lambda read: read_service(
                 service, target, method, body.data, content_type, read, workspace
             )
         )
-        return call.map(lambda call: self._run(call, body, self._service_sink(call)))
+        return call.map(lambda call: self._run(call, body, self._service_sink_factory(call)))
 
-    def _completion_sink(self, call: CompletionCall) -> SinkMaker:
+    def _completion_sink_factory(self, call: CompletionCall) -> SinkFactory:
         """Return what makes the sink of a completion's answer."""
         request = call.request
         created = int(self._application.clock.now().timestamp())
-        form = AnswerFormat(request.kind, request.request_id, str(request.target), created)
+        answer_format = AnswerFormat(request.kind, request.request_id, str(request.target), created)
         if request.stream:
             return lambda writer: StreamedAnswer(
-                writer, form, request.request_id, call.include_usage
+                writer, answer_format, request.request_id, call.include_usage
             )
-        return lambda writer: WholeAnswer(writer, form, request.request_id)
+        return lambda writer: WholeAnswer(writer, answer_format, request.request_id)
 
-    def _service_sink(self, call: CallerRequest) -> SinkMaker:
+    def _service_sink_factory(self, call: CallerRequest) -> SinkFactory:
         """Return what makes the sink of a service's response."""
         limit = self._settings.max_service_response_bytes
         return lambda writer: ServiceAnswer(writer, call.request_id, limit)
 
-    def _run(self, request: CallerRequest, body: HeldBody, make_sink: SinkMaker) -> ASGIApp:
+    def _run(self, request: CallerRequest, body: BufferedBody, create_sink: SinkFactory) -> ASGIApp:
         """Return the response that runs a request and relays its answer."""
 
         async def relay(writer: ResponseWriter) -> None:
             try:
                 meter = RequestMeter(request, self._application.metrics, self._application.clock)
                 events = self._application.pipeline.submit(request)
-                await relay_events(events, make_sink(writer), meter)
+                await relay_events(events, create_sink(writer), meter)
             finally:
                 body.release()
 
         return self._respond(relay)
 
-    def _reply(self, document: object) -> ASGIApp:
+    def _json_response(self, document: object) -> ASGIApp:
         """Return a JSON response."""
         body = msgspec.json.encode(document)
         return self._respond(lambda writer: writer.respond(200, [JSON_HEADER, _NO_STORE], body))
 
-    def _refuse(self, workspace: WorkspaceId | None, failed: Failed) -> ASGIApp:
+    def _error_response(self, workspace: WorkspaceId | None, failed: Failed) -> ASGIApp:
         """Return an error response to a request that was not submitted."""
         self._application.metrics.refused(workspace, failed.reason)
         return self._respond(lambda writer: write_failure(writer, failed))
@@ -240,26 +248,26 @@
         return RelayResponse(relay, self._write_timeout_seconds, _CLOSE if stopping else ())
 
 
-def _not_ready(detail: str) -> Failed:
+def _not_ready_refusal(detail: str) -> Failed:
     """Return the refusal of a call that can be made again in a moment."""
     return refusal(RefusalReason.ROUTER_NOT_READY, detail, _NOT_READY_RETRY_SECONDS)
 
 
-def _not_joined(request: HttpRequest) -> Failed:
+def _not_joined_refusal(request: HttpRequest) -> Failed:
     """Return the refusal of a router that is not a member yet.
 
     A ticket names another router, which may have run the request already.
     """
-    failed = _not_ready("this router has not joined the fleet yet")
+    failed = _not_ready_refusal("this router has not joined the fleet yet")
     return replace(failed, outcome=Unknown()) if TICKET_HEADER in request.headers else failed
 
 
 def _service_target(request: HttpRequest) -> str:
     """Return path and query below the service's root, in the caller's own encoding."""
     raw_path = request.scope["raw_path"].decode("ascii", "replace")
-    below = raw_path.split("/", _SERVICE_PATH_PARTS)[_SERVICE_PATH_PARTS:]
+    parts_below = raw_path.split("/", _SERVICE_PATH_PARTS)[_SERVICE_PATH_PARTS:]
     query = request.scope["query_string"].decode("ascii", "replace")
-    return "/" + "".join(below) + (f"?{query}" if query else "")
+    return "/" + "".join(parts_below) + (f"?{query}" if query else "")
 
 
 def caller_routes() -> Router:
--- a/packages/quinceferry-daemon/src/quinceferryd/caller_requests.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/caller_requests.py
@@ -15,7 +15,7 @@
 )
 from quinceferry_core.outcomes import Failed, RefusalReason
 from quinceferryd.refusals import refusal
-from quinceferryd.request_options import RequestOptions, malformed
+from quinceferryd.request_options import RequestOptions, malformed_refusal
 
 
 class StreamOptions(msgspec.Struct, frozen=True):
@@ -84,10 +84,10 @@
     try:
         body = _body_decoder.decode(document)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        return malformed(str(error))
-    fault = _unsupported(kind, body)
-    if fault:
-        return malformed(fault)
+        return malformed_refusal(str(error))
+    detail = _unsupported_detail(kind, body)
+    if detail:
+        return malformed_refusal(detail)
     target = ModelRef.parse(body.model)
     model = configuration.models_by_name.get(target.model)
     if model is None or target not in workspace.models:
@@ -162,7 +162,7 @@
     )
 
 
-def _unsupported(kind: RequestKind, body: CompletionBody) -> str:
+def _unsupported_detail(kind: RequestKind, body: CompletionBody) -> str:
     """Return what in a body the router cannot bound or relay; empty when it is fine."""
     if kind is RequestKind.CHAT and not body.messages:
         return "messages must not be empty"
@@ -174,10 +174,10 @@
         return "n and best_of above 1 are not supported"
     if body.echo or body.suffix:
         return "echo and suffix are not supported"
-    return next(map(_unsupported_part, _content_parts(body)), "")
+    return next(map(_unsupported_part_detail, _non_text_parts(body)), "")
 
 
-def _content_parts(body: CompletionBody) -> list[ContentPart]:
+def _non_text_parts(body: CompletionBody) -> list[ContentPart]:
     """Return all parts that are not text."""
     return [
         part
@@ -188,21 +188,21 @@
     ]
 
 
-def _unsupported_part(part: ContentPart) -> str:
+def _unsupported_part_detail(part: ContentPart) -> str:
     """Say that a content part is not supported."""
     return f"content of type {part.type!r} is not supported, only text"
 
 
 def _output_cap(body: CompletionBody, model: ModelSpec) -> Result[int, Failed]:
     """Return the greatest number of output tokens."""
-    asked = body.max_completion_tokens
-    if asked is None:
-        asked = body.max_tokens
-    if asked is None:
+    requested_tokens = body.max_completion_tokens
+    if requested_tokens is None:
+        requested_tokens = body.max_tokens
+    if requested_tokens is None:
         return Success(model.default_output_tokens)
-    if not 0 < asked <= model.max_output_tokens:
-        return malformed(f"max_tokens must be from 1 to {model.max_output_tokens}")
-    return Success(asked)
+    if not 0 < requested_tokens <= model.max_output_tokens:
+        return malformed_refusal(f"max_tokens must be from 1 to {model.max_output_tokens}")
+    return Success(requested_tokens)
 
 
 def _completion_prompt(body: CompletionBody) -> str:
@@ -213,12 +213,14 @@
 def _chat_prompt(body: CompletionBody) -> str:
     """Return everything of a chat that the model reads, one ``role: content`` line a message."""
     lines = [line for message in body.messages for line in _message_lines(message)]
-    extras = {
+    fields_by_name = {
         "tools": body.tools,
         "functions": body.functions,
         "response_format": body.response_format,
     }
-    lines += [f"{name}: {bytes(raw).decode()}" for name, raw in extras.items() if bytes(raw)]
+    lines += [
+        f"{name}: {bytes(raw).decode()}" for name, raw in fields_by_name.items() if bytes(raw)
+    ]
     return "\n".join(lines)
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/forwards.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/forwards.py
@@ -59,7 +59,7 @@
 
         :param unreached: published if no peer is reached.
         """
-        run.is_forwarded = True
+        run.was_forwarded = True
         failure = no_peer_failure
         may_have_run = False
         for member in members:
--- a/packages/quinceferry-daemon/src/quinceferryd/http_connections.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/http_connections.py
@@ -26,14 +26,14 @@
         self.idle_since = 0.0
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpResponseParser | None = None
-        self._head_only = False
+        self._has_no_body = False
         self._head_complete = False
         self._complete = True
         self._ends_at_close = False
         self._keeps_alive = True
         self._error: Exception | None = None
-        self._pieces: list[bytes] = []
-        self._buffered = 0
+        self._body_parts: list[bytes] = []
+        self._buffered_bytes = 0
         self._waiter: asyncio.Future[None] | None = None
 
     @property
@@ -41,7 +41,7 @@
         """Return whether another exchange may follow."""
         return self._complete and self._keeps_alive and self._error is None
 
-    def send(self, head: bytes, body: bytes, head_only: bool) -> None:
+    def send(self, head: bytes, body: bytes, has_no_body: bool) -> None:
         """Begin an exchange.
 
         :param head: request line and headers, with the empty line.
@@ -51,7 +51,7 @@
         self.status = 0
         self.headers = []
         self._parser = httptools.HttpResponseParser(self)
-        self._head_only = head_only
+        self._has_no_body = has_no_body
         self._head_complete = False
         self._complete = False
         self._transport.write(head + body)
@@ -69,15 +69,15 @@
 
         :raises httpx.TransportError: the connection broke or the answer is malformed.
         """
-        while not self._pieces:
+        while not self._body_parts:
             if self._complete:
                 return b""
             await self._wait()
-        data = self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
-        self._pieces.clear()
-        if self._buffered > MAX_BUFFERED_BYTES and self._error is None:
+        data = self._body_parts[0] if len(self._body_parts) == 1 else b"".join(self._body_parts)
+        self._body_parts.clear()
+        if self._buffered_bytes > MAX_BUFFERED_BYTES and self._error is None:
             self._transport.resume_reading()
-        self._buffered = 0
+        self._buffered_bytes = 0
         return data
 
     def abort(self) -> None:
@@ -97,15 +97,15 @@
     def buffer_updated(self, size: int) -> None:
         """Parse what was read; bytes outside an exchange break the connection."""
         if self._complete:
-            self._fail(httpx.RemoteProtocolError("bytes outside an exchange"))
+            self._break_connection(httpx.RemoteProtocolError("bytes outside an exchange"))
             return
         try:
             self._parser.feed_data(_READ_BUFFER[:size])
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(httpx.RemoteProtocolError(repr(error)))
-        if self._buffered > MAX_BUFFERED_BYTES and not self._transport.is_closing():
+            self._break_connection(httpx.RemoteProtocolError(repr(error)))
+        if self._buffered_bytes > MAX_BUFFERED_BYTES and not self._transport.is_closing():
             self._transport.pause_reading()
-        self._wake()
+        self._notify_reader()
 
     def connection_lost(self, error: Exception | None) -> None:
         """Note the end; an answer without a length is whole, any other is broken."""
@@ -113,7 +113,7 @@
             self._complete = True
         if self._error is None:
             self._error = httpx.ReadError(repr(error) if error else "connection closed")
-        self._wake()
+        self._notify_reader()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect one header."""
@@ -126,15 +126,15 @@
             self.headers.clear()
             return
         self._head_complete = True
-        self._keeps_alive = self._parser.should_keep_alive() and not self._head_only
+        self._keeps_alive = self._parser.should_keep_alive() and not self._has_no_body
         names = {name for name, _ in self.headers}
         self._ends_at_close = not names & {b"content-length", b"transfer-encoding"}
-        self._complete = self._head_only
+        self._complete = self._has_no_body
 
     def on_body(self, data: bytes) -> None:
         """Collect body bytes."""
-        self._pieces.append(data)
-        self._buffered += len(data)
+        self._body_parts.append(data)
+        self._buffered_bytes += len(data)
 
     def on_message_complete(self) -> None:
         """Note the end of the answer."""
@@ -151,12 +151,12 @@
         finally:
             self._waiter = None
 
-    def _wake(self) -> None:
+    def _notify_reader(self) -> None:
         """Wake the reader."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _fail(self, error: Exception) -> None:
+    def _break_connection(self, error: Exception) -> None:
         """Break the connection for a fault of the peer."""
         self._error = error
         self.abort()
--- a/packages/quinceferry-daemon/src/quinceferryd/http_transport.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/http_transport.py
@@ -13,7 +13,7 @@
 """Request extension: open a new connection, since an idle one may have been silently lost."""
 
 DEFAULT_IDLE_SECONDS = 15.0
-DEFAULT_MAX_IDLE = 8
+DEFAULT_MAX_IDLE_CONNECTIONS = 8
 DEFAULT_PORT = 80
 
 _Peer = tuple[str, int]
@@ -30,12 +30,14 @@
     """
 
     def __init__(
-        self, idle_seconds: float = DEFAULT_IDLE_SECONDS, max_idle: int = DEFAULT_MAX_IDLE
+        self,
+        idle_seconds: float = DEFAULT_IDLE_SECONDS,
+        max_idle_connections: int = DEFAULT_MAX_IDLE_CONNECTIONS,
     ) -> None:
         self._idle_seconds = idle_seconds
-        self._max_idle = max_idle
+        self._max_idle_connections = max_idle_connections
         self._idle_by_peer: defaultdict[_Peer, list[HttpConnection]] = defaultdict(list)
-        self._swept_at = 0.0
+        self._last_sweep_at = 0.0
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
         """Send a request and return its answer, whose body is still to be read."""
@@ -43,7 +45,7 @@
         body = await request.aread()
         timeouts = request.extensions.get("timeout", {})
         peer = (request.url.host, request.url.port or DEFAULT_PORT)
-        connection = None if request.extensions.get(FRESH_CONNECTION) else self._take_idle(peer)
+        connection = None if request.extensions.get(FRESH_CONNECTION) else self._pop_idle(peer)
         if connection is None:
             connection = await _connect(peer, timeouts.get("connect"))
         try:
@@ -53,7 +55,7 @@
         except BaseException:
             connection.abort()
             raise
-        stream = _Body(self, peer, connection, timeouts.get("read"))
+        stream = _ResponseBody(self, peer, connection, timeouts.get("read"))
         return httpx.Response(connection.status, headers=connection.headers, stream=stream)
 
     async def aclose(self) -> None:
@@ -66,41 +68,43 @@
     def release(self, peer: _Peer, connection: HttpConnection) -> None:
         """Keep a connection for another exchange, or drop it."""
         idle = self._idle_by_peer[peer]
-        if not connection.reusable or len(idle) >= self._max_idle:
+        if not connection.reusable or len(idle) >= self._max_idle_connections:
             connection.abort()
             return
         now = asyncio.get_running_loop().time()
         connection.idle_since = now
         idle.append(connection)
-        if now - self._swept_at > self._idle_seconds:
-            self._sweep(now)
+        if now - self._last_sweep_at > self._idle_seconds:
+            self._drop_expired(now)
 
-    def _sweep(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Drop connections that have been idle too long, of all peers."""
-        self._swept_at = now
+        self._last_sweep_at = now
         for peer, connections in list(self._idle_by_peer.items()):
-            kept = [each for each in connections if each.idle_since >= now - self._idle_seconds]
+            unexpired = [
+                each for each in connections if each.idle_since >= now - self._idle_seconds
+            ]
             for connection in connections:
-                if connection not in kept:
+                if connection not in unexpired:
                     connection.abort()
-            if kept:
-                self._idle_by_peer[peer] = kept
+            if unexpired:
+                self._idle_by_peer[peer] = unexpired
             else:
                 del self._idle_by_peer[peer]
 
-    def _take_idle(self, peer: _Peer) -> HttpConnection | None:
+    def _pop_idle(self, peer: _Peer) -> HttpConnection | None:
         """Return the connection that was used last, unless it has been idle too long."""
         idle = self._idle_by_peer[peer]
-        oldest = asyncio.get_running_loop().time() - self._idle_seconds
+        min_idle_since = asyncio.get_running_loop().time() - self._idle_seconds
         while idle:
             connection = idle.pop()
-            if connection.reusable and connection.idle_since >= oldest:
+            if connection.reusable and connection.idle_since >= min_idle_since:
                 return connection
             connection.abort()
         return None
 
 
-class _Body(httpx.AsyncByteStream):
+class _ResponseBody(httpx.AsyncByteStream):
     """Body of one answer; closing it early drops the connection."""
 
     def __init__(
@@ -108,21 +112,21 @@
         pool: StreamingTransport,
         peer: _Peer,
         connection: HttpConnection,
-        read_seconds: float | None,
+        read_timeout_seconds: float | None,
     ) -> None:
         self._pool = pool
         self._peer = peer
         self._connection = connection
-        self._read_seconds = read_seconds
+        self._read_timeout_seconds = read_timeout_seconds
         self._closed = False
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
         """Return body bytes as they arrive."""
         while True:
-            if self._read_seconds is None:
+            if self._read_timeout_seconds is None:
                 data = await self._connection.read_body()
             else:
-                async with _read_timeout(self._read_seconds):
+                async with _read_timeout(self._read_timeout_seconds):
                     data = await self._connection.read_body()
             if not data:
                 return
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
@@ -166,7 +166,7 @@
         self._writer = writer
         self._keep_alive = keep_alive
 
-    async def chunk(self, chunk: Chunk) -> None:
+    async def write_chunk(self, chunk: Chunk) -> None:
         """Write a piece of the answer."""
         await self._writer.write(wire.encode_event(chunk))
 
--- a/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
@@ -31,7 +31,7 @@
 from quinceferryd.refusals import HOME_RETRY_SECONDS, home_failure
 from quinceferryd.runs import RequestRun, RunStore
 
-_CIRCULAR = Failed(
+_CIRCULAR_FORWARD = Failed(
     RefusalReason.BUDGET_UNREACHABLE,
     NEVER_SENT,
     HOME_RETRY_SECONDS,
@@ -39,7 +39,7 @@
     step="forward",
 )
 """Two routers without tokens must not wait for each other's answer."""
-_OPEN_STATES = (RouterState.SERVING, RouterState.STOPPING)
+_ACCEPTING_STATES = (RouterState.SERVING, RouterState.STOPPING)
 
 
 class Pipeline(TaskGroupController):
@@ -93,47 +93,47 @@
     def _route(self, request: CallerRequest) -> AnswerStream:
         """Choose how to answer a request."""
         key = RequestKey(request.workspace, request.request_id)
-        known = self.runs.find(key)
-        if known is not None and request.forwarded and known.is_forwarded:
-            return _only(_CIRCULAR)
-        if known is not None and self._answers(known, request):
-            return self._follow(known, request)
-        refused = self._ticket_refusal(request) or self._quarantine_refusal(request)
-        if refused is not None:
-            return _only(refused)
+        existing = self.runs.find(key)
+        if existing is not None and request.forwarded and existing.was_forwarded:
+            return _single_event(_CIRCULAR_FORWARD)
+        if existing is not None and self._can_replay(existing, request):
+            return self._replay_existing(existing, request)
+        refusal = self._ticket_refusal(request) or self._quarantine_refusal(request)
+        if refusal is not None:
+            return _single_event(refusal)
         ticket = request.ticket
         if ticket is None or ticket.home == self._blackboard.identity.incarnation:
             return self._run(key, request)
         if request.forwarded:
-            return self._run_forwarded(key, request, ticket)
+            return self._answer_forwarded(key, request, ticket)
         if request.idempotent:
-            return self._run_unless_known_at(key, request, ticket)
+            return self._join_or_run(key, request, ticket)
         return self._forward_home(request, ticket)
 
-    def _answers(self, known: RequestRun, request: CallerRequest) -> bool:
+    def _can_replay(self, existing: RequestRun, request: CallerRequest) -> bool:
         """Tell whether a known run answers a repeated request.
 
         An idempotent request that broke off or whose text was dropped is run again; its bill
         replaces the earlier one. A refused non-idempotent request may run once its caller comes
         with a later ticket, which shows that it has read the refusal.
         """
-        if known.outcome is None:
+        if existing.outcome is None:
             return True
         if request.idempotent:
-            return isinstance(known.outcome, Run) and not known.text_dropped
-        return not (isinstance(known.outcome, NotRun) and _has_later_ticket(known, request))
+            return isinstance(existing.outcome, Run) and not existing.answer_dropped
+        return not (isinstance(existing.outcome, NotRun) and _has_later_ticket(existing, request))
 
-    def _follow(self, known: RequestRun, request: CallerRequest) -> AnswerStream:
+    def _replay_existing(self, existing: RequestRun, request: CallerRequest) -> AnswerStream:
         """Answer a repeated request from the run of the first."""
-        if known.fingerprint != fingerprint(request):
+        if existing.fingerprint != fingerprint(request):
             detail = "the request id was used for another request"
-            return _only(Failed(RefusalReason.REQUEST_ID_REUSED, NEVER_SENT, detail=detail))
-        if known.text_dropped and known.outcome is not None:
+            return _single_event(Failed(RefusalReason.REQUEST_ID_REUSED, NEVER_SENT, detail=detail))
+        if existing.answer_dropped and existing.outcome is not None:
             detail = "the answer is no longer stored"
-            return _only(
-                Failed(RefusalReason.REQUEST_ID_REUSED, known.outcome, 0.0, detail, "replay")
+            return _single_event(
+                Failed(RefusalReason.REQUEST_ID_REUSED, existing.outcome, 0.0, detail, "replay")
             )
-        return self._read(known)
+        return self._read_events(existing)
 
     def _ticket_refusal(self, request: CallerRequest) -> Failed | None:
         """Refuse a non-idempotent request that names no home."""
@@ -157,7 +157,7 @@
 
     async def _run(self, key: RequestKey, request: CallerRequest) -> AnswerStream:
         """Run a request here and return its answer."""
-        if self._blackboard.state not in _OPEN_STATES or self._accounts.current is None:
+        if self._blackboard.state not in _ACCEPTING_STATES or self._accounts.current is None:
             yield not_ready("submit")
             return
         if self._demand is not None and request.kind is not RequestKind.SERVICE:
@@ -165,7 +165,7 @@
         expires_at = request.ticket.expires_at if request.ticket else None
         run = self.runs.begin(key, fingerprint(request), request.idempotent, expires_at)
         run.task = self.spawn(self._execute(run, request), f"request {key.request}")
-        async with aclosing(self._read(run)) as events:
+        async with aclosing(self._read_events(run)) as events:
             async for event in events:
                 yield event
 
@@ -175,10 +175,10 @@
             await self._executor.execute(run, request)
         finally:
             if run.outcome is None:
-                run.publish(self._ended_early())
+                run.publish(self._interrupted_failure())
             self.runs.finish(run)
 
-    def _ended_early(self) -> Failed:
+    def _interrupted_failure(self) -> Failed:
         """Return the failure of a request that ended without a last event."""
         if self._blackboard.state is RouterState.LEFT:
             detail = "the request was open when its router's stop reached its bound"
@@ -188,7 +188,7 @@
         detail = "the request was ended"
         return Failed(RefusalReason.INTERNAL, Unknown(), detail=detail)
 
-    async def _read(self, run: RequestRun) -> AnswerStream:
+    async def _read_events(self, run: RequestRun) -> AnswerStream:
         """Return a run's events.
 
         The last reader to leave early stops an idempotent run. Another runs to its end: its caller
@@ -196,7 +196,7 @@
         """
         run.readers += 1
         try:
-            async for event in run.follow():
+            async for event in run.replay():
                 yield event
         finally:
             run.readers -= 1
@@ -204,7 +204,7 @@
             if is_unread and run.idempotent and run.task is not None:
                 run.task.cancel()
 
-    async def _run_forwarded(
+    async def _answer_forwarded(
         self, key: RequestKey, request: CallerRequest, ticket: Ticket
     ) -> AnswerStream:
         """Answer a request that a peer sent here."""
@@ -215,30 +215,30 @@
             return
         # The home was an earlier incarnation of this process or is none of it. Nothing new runs
         # under it: another router may already have told the caller so.
-        yield await self._judge(request, ticket)
+        yield await self._prove_outcome(request, ticket)
 
-    async def _run_unless_known_at(
+    async def _join_or_run(
         self, key: RequestKey, request: CallerRequest, ticket: Ticket
     ) -> AnswerStream:
         """Join an idempotent request at the router that has it, or run it here."""
-        address = self._address_of(ticket)
-        if address and await self._is_known_at(address, key):
-            started = False
+        address = self._home_address(ticket)
+        if address and await self._has_seen(address, key):
+            has_output = False
             try:
                 async with aclosing(forward(self._peers, address, request)) as events:
                     async for event in events:
-                        started = started or isinstance(event, Chunk)
+                        has_output = has_output or isinstance(event, Chunk)
                         yield event
                 return
             except PeerUnavailableError as error:
-                if started:
+                if has_output:
                     yield home_failure(error, Unknown())
                     return
         async with aclosing(self._run(key, request)) as events:
             async for event in events:
                 yield event
 
-    async def _is_known_at(self, address: str, key: RequestKey) -> bool:
+    async def _has_seen(self, address: str, key: RequestKey) -> bool:
         """Ask a peer whether it has seen a request; an unreachable one counts as no."""
         try:
             outcome = await self._peers.ask_outcome(address, key.workspace, key.request)
@@ -248,9 +248,9 @@
 
     async def _forward_home(self, request: CallerRequest, ticket: Ticket) -> AnswerStream:
         """Have the home of a non-idempotent request run it or tell its outcome."""
-        address = self._address_of(ticket)
+        address = self._home_address(ticket)
         if not address:
-            yield await self._judge(request, ticket)
+            yield await self._prove_outcome(request, ticket)
             return
         try:
             async with aclosing(forward(self._peers, address, request)) as events:
@@ -260,7 +260,7 @@
             # Even if this call did not reach the home, an earlier one of the caller may have.
             yield home_failure(error, Unknown())
 
-    async def _judge(self, request: CallerRequest, ticket: Ticket) -> Failed:
+    async def _prove_outcome(self, request: CallerRequest, ticket: Ticket) -> Failed:
         """Tell what became of a non-idempotent request whose home is gone."""
         key = RequestKey(request.workspace, request.request_id)
         outcome = await self._proofs.outcome(ticket, key)
@@ -270,7 +270,7 @@
         detail = "its home is gone and may have run it"
         return Failed(RefusalReason.HOME_GONE, outcome, 0.0, detail)
 
-    def _address_of(self, ticket: Ticket) -> str:
+    def _home_address(self, ticket: Ticket) -> str:
         """Return the address of a ticket's home while it is another member, else nothing."""
         member = self._blackboard.members_by_incarnation.get(ticket.home)
         if member is None or member.address == self._blackboard.identity.address:
@@ -278,13 +278,13 @@
         return member.address
 
 
-def _has_later_ticket(known: RequestRun, request: CallerRequest) -> bool:
+def _has_later_ticket(existing: RequestRun, request: CallerRequest) -> bool:
     """Tell whether a request carries a later ticket than the run that is known."""
-    if known.ticket_expires_at is None or request.ticket is None:
+    if existing.ticket_expires_at is None or request.ticket is None:
         return False
-    return request.ticket.expires_at > known.ticket_expires_at
+    return request.ticket.expires_at > existing.ticket_expires_at
 
 
-async def _only(event: AnswerEvent) -> AnswerStream:
+async def _single_event(event: AnswerEvent) -> AnswerStream:
     """Return a single event."""
     yield event
--- a/packages/quinceferry-daemon/src/quinceferryd/relays.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/relays.py
@@ -34,7 +34,7 @@
 class AnswerSink(Protocol):
     """Writes an answer to the caller."""
 
-    async def chunk(self, chunk: Chunk) -> None:
+    async def write_chunk(self, chunk: Chunk) -> None:
         """Take a piece of the answer."""
 
     async def finish(self, finished: Finished) -> None:
@@ -54,14 +54,14 @@
     :param events: closed in every case, which cancels the request unless it has ended.
     :param meter: measures the request; None for a forwarded one, which its first router measures.
     """
-    used_meter = meter or NullMeter()
+    active_meter = meter or NullMeter()
     try:
-        failed = await _relay_all(events, sink, used_meter)
+        failed = await _relay_all(events, sink, active_meter)
         if failed is not None:
-            used_meter.end(failed)
+            active_meter.end(failed)
             await sink.fail(failed)
     finally:
-        used_meter.close()
+        active_meter.close()
 
 
 async def _relay_all(
@@ -74,18 +74,18 @@
             async for event in events:
                 if isinstance(event, Chunk):
                     meter.chunk()
-                    await sink.chunk(event)
+                    await sink.write_chunk(event)
                 else:
                     ended = True
                     meter.end(event)
-                    await _write_end(event, sink)
+                    await _write_final_event(event, sink)
     except Exception as error:
         log_bug(error, "relay")
-        return None if ended else _internal(f"internal error: {type(error).__name__}")
-    return None if ended else _internal("the answer ended early")
+        return None if ended else _internal_failure(f"internal error: {type(error).__name__}")
+    return None if ended else _internal_failure("the answer ended early")
 
 
-async def _write_end(event: Finished | Failed, sink: AnswerSink) -> None:
+async def _write_final_event(event: Finished | Failed, sink: AnswerSink) -> None:
     """Write the last event."""
     match event:
         case Finished():
@@ -94,7 +94,7 @@
             await sink.fail(event)
 
 
-def _internal(detail: str) -> Failed:
+def _internal_failure(detail: str) -> Failed:
     """Return a failure after which nothing is known of the request."""
     return Failed(RefusalReason.INTERNAL, Unknown(), detail=detail)
 
@@ -112,24 +112,33 @@
     """
 
     def __init__(
-        self, writer: ResponseWriter, form: AnswerFormat, request_id: str, include_usage: bool
+        self,
+        writer: ResponseWriter,
+        answer_format: AnswerFormat,
+        request_id: str,
+        include_usage: bool,
     ) -> None:
         self._writer = writer
-        self._form = form
+        self._answer_format = answer_format
         self._request_id = request_id
         self._include_usage = include_usage
 
-    async def chunk(self, chunk: Chunk) -> None:
+    async def write_chunk(self, chunk: Chunk) -> None:
         """Write a piece of the answer."""
-        piece = self._form.chunk(chunk.text)
+        piece = self._answer_format.text_event(chunk.text)
         if not self._writer.started:
-            piece = await self._opening() + piece
+            piece = await self._write_opening() + piece
         await self._writer.write(piece)
 
     async def finish(self, finished: Finished) -> None:
         """Write the end of a whole answer."""
-        usage = self._form.usage(finished.usage) if self._include_usage else b""
-        body = await self._opening() + self._form.last(finished.reason) + usage + DONE
+        usage = self._answer_format.usage_event(finished.usage) if self._include_usage else b""
+        body = (
+            await self._write_opening()
+            + self._answer_format.finish_event(finished.reason)
+            + usage
+            + DONE
+        )
         await self._writer.finish(body)
 
     async def fail(self, failed: Failed) -> None:
@@ -139,31 +148,35 @@
         else:
             await write_failure(self._writer, failed, self._request_id)
 
-    async def _opening(self) -> bytes:
+    async def _write_opening(self) -> bytes:
         """Write the headers before the first event, and return what precedes that event."""
         if self._writer.started:
             return b""
         headers = [*_EVENT_STREAM_HEADERS, *request_id_header(self._request_id)]
         await self._writer.start(200, headers)
-        return self._form.first()
+        return self._answer_format.opening_event()
 
 
 class WholeAnswer:
     """One JSON document, written at the end."""
 
-    def __init__(self, writer: ResponseWriter, form: AnswerFormat, request_id: str) -> None:
+    def __init__(
+        self, writer: ResponseWriter, answer_format: AnswerFormat, request_id: str
+    ) -> None:
         self._writer = writer
-        self._form = form
+        self._answer_format = answer_format
         self._request_id = request_id
         self._pieces: list[str] = []
 
-    async def chunk(self, chunk: Chunk) -> None:
+    async def write_chunk(self, chunk: Chunk) -> None:
         """Keep a piece of the answer; the request's output cap bounds them."""
         self._pieces.append(chunk.text)
 
     async def finish(self, finished: Finished) -> None:
         """Write the whole answer."""
-        body = self._form.whole("".join(self._pieces), finished.reason, finished.usage)
+        body = self._answer_format.whole_document(
+            "".join(self._pieces), finished.reason, finished.usage
+        )
         await self._writer.respond(200, [JSON_HEADER, *request_id_header(self._request_id)], body)
 
     async def fail(self, failed: Failed) -> None:
@@ -180,19 +193,19 @@
     def __init__(self, writer: ResponseWriter, request_id: str, max_bytes: int) -> None:
         self._writer = writer
         self._request_id = request_id
-        self._free_bytes = max_bytes
+        self._remaining_bytes = max_bytes
         self._pieces: list[bytes] = []
 
-    async def chunk(self, chunk: Chunk) -> None:
+    async def write_chunk(self, chunk: Chunk) -> None:
         """Keep a piece of the body; pieces over the bound are dropped."""
-        self._free_bytes -= len(chunk.data)
-        if self._free_bytes >= 0:
+        self._remaining_bytes -= len(chunk.data)
+        if self._remaining_bytes >= 0:
             self._pieces.append(chunk.data)
 
     async def finish(self, finished: Finished) -> None:
         """Write the whole response, or say that it was too large."""
-        if self._free_bytes < 0:
-            await self.fail(_too_large(finished))
+        if self._remaining_bytes < 0:
+            await self.fail(_too_large_failure(finished))
             return
         content_type = (finished.content_type or _DEFAULT_CONTENT_TYPE).encode()
         headers = [(b"content-type", content_type), *request_id_header(self._request_id)]
@@ -203,7 +216,7 @@
         await write_failure(self._writer, failed, self._request_id)
 
 
-def _too_large(finished: Finished) -> Failed:
+def _too_large_failure(finished: Finished) -> Failed:
     """Return the failure of a service call that ran but whose response is not relayed."""
     return Failed(
         RefusalReason.UPSTREAM_FAILED,
--- a/packages/quinceferry-daemon/src/quinceferryd/request_options.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/request_options.py
@@ -20,7 +20,7 @@
 DEADLINE_HEADER = "x-quinceferry-deadline-seconds"
 
 _REQUEST_ID_PATTERN = re.compile(r"[A-Za-z0-9._:~+=@-]{1,128}")
-_PRIORITIES_BY_WORD = {priority.name.lower(): priority for priority in Priority}
+_PRIORITIES_BY_NAME = {priority.name.lower(): priority for priority in Priority}
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
 
@@ -47,7 +47,11 @@
         self._settings = settings
 
     def read(
-        self, headers: Mapping[str, str], workspace: WorkspaceSpec, method: str, safe: bool
+        self,
+        headers: Mapping[str, str],
+        workspace: WorkspaceSpec,
+        method: str,
+        idempotent_by_default: bool,
     ) -> Result[RequestOptions, Failed]:
         """Read the headers of one request.
 
@@ -55,26 +59,32 @@
         :param method: HTTP method.
         :param safe: whether a request is idempotent when its header does not say.
         """
-        given_id = headers.get(REQUEST_ID_HEADER, "")
-        if given_id and not _REQUEST_ID_PATTERN.fullmatch(given_id):
-            return malformed(f"{REQUEST_ID_HEADER} must match {_REQUEST_ID_PATTERN.pattern}")
-        word = headers.get(PRIORITY_HEADER, workspace.priority.name).lower()
-        if word not in _PRIORITIES_BY_WORD:
-            return malformed(f"{PRIORITY_HEADER} must be one of {', '.join(_PRIORITIES_BY_WORD)}")
-        mark = headers.get(NON_IDEMPOTENT_HEADER, "").lower()
-        if mark not in ("", "true", "false"):
-            return malformed(f"{NON_IDEMPOTENT_HEADER} must be true or false")
-        idempotent = mark == "false" or (not mark and (safe or method in _SAFE_METHODS))
-        if not idempotent and not given_id:
-            return malformed(f"a non-idempotent request needs {REQUEST_ID_HEADER}")
+        caller_request_id = headers.get(REQUEST_ID_HEADER, "")
+        if caller_request_id and not _REQUEST_ID_PATTERN.fullmatch(caller_request_id):
+            return malformed_refusal(
+                f"{REQUEST_ID_HEADER} must match {_REQUEST_ID_PATTERN.pattern}"
+            )
+        priority_name = headers.get(PRIORITY_HEADER, workspace.priority.name).lower()
+        if priority_name not in _PRIORITIES_BY_NAME:
+            return malformed_refusal(
+                f"{PRIORITY_HEADER} must be one of {', '.join(_PRIORITIES_BY_NAME)}"
+            )
+        non_idempotent_value = headers.get(NON_IDEMPOTENT_HEADER, "").lower()
+        if non_idempotent_value not in ("", "true", "false"):
+            return malformed_refusal(f"{NON_IDEMPOTENT_HEADER} must be true or false")
+        idempotent = non_idempotent_value == "false" or (
+            not non_idempotent_value and (idempotent_by_default or method in _SAFE_METHODS)
+        )
+        if not idempotent and not caller_request_id:
+            return malformed_refusal(f"a non-idempotent request needs {REQUEST_ID_HEADER}")
         match self._deadline(headers), self._ticket(headers, workspace):
             case Failure() as failure, _:
                 return failure
             case _, Failure() as failure:
                 return failure
             case Success(deadline_seconds), Success(ticket):
-                request_id = RequestId(given_id or uuid.uuid4().hex)
-                priority = max(_PRIORITIES_BY_WORD[word], workspace.priority)
+                request_id = RequestId(caller_request_id or uuid.uuid4().hex)
+                priority = max(_PRIORITIES_BY_NAME[priority_name], workspace.priority)
                 options = RequestOptions(request_id, priority, idempotent, ticket, deadline_seconds)
                 return Success(options)
         raise AssertionError("a result is a success or a failure")
@@ -87,10 +97,10 @@
         try:
             seconds = float(text)
         except ValueError:
-            return malformed(f"{DEADLINE_HEADER} must be a number")
+            return malformed_refusal(f"{DEADLINE_HEADER} must be a number")
         if not 0 < seconds <= self._settings.max_deadline_seconds:
             limit = self._settings.max_deadline_seconds
-            return malformed(f"{DEADLINE_HEADER} must be above 0 and at most {limit:g}")
+            return malformed_refusal(f"{DEADLINE_HEADER} must be above 0 and at most {limit:g}")
         return Success(seconds)
 
     def _ticket(
@@ -109,6 +119,6 @@
                 return Failure(refusal(RefusalReason.TICKET_INVALID, "ticket of other workspace"))
 
 
-def malformed(detail: str) -> Failure[Failed]:
+def malformed_refusal(detail: str) -> Failure[Failed]:
     """Return the refusal of a request that is not well formed."""
     return Failure(refusal(RefusalReason.MALFORMED, detail))
--- a/packages/quinceferry-daemon/src/quinceferryd/responses.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/responses.py
@@ -86,19 +86,19 @@
         """Run the relay until it ends, or the reader disconnects or stalls."""
         writer = ResponseWriter(send, self._headers)
         relay = asyncio.create_task(self._relay(writer))
-        watcher = asyncio.create_task(_cancel_on_disconnect(receive, writer, relay))
-        guard = _StallGuard(writer, relay, self._write_timeout_seconds)
+        disconnect_watcher = asyncio.create_task(_cancel_on_disconnect(receive, writer, relay))
+        stall_detector = _StallDetector(writer, relay, self._write_timeout_seconds)
         try:
             await relay
         except asyncio.CancelledError:
-            if not (watcher.done() or guard.stalled):
+            if not (disconnect_watcher.done() or stall_detector.stalled):
                 raise
         finally:
-            watcher.cancel()
-            guard.close()
+            disconnect_watcher.cancel()
+            stall_detector.close()
 
 
-class _StallGuard:
+class _StallDetector:
     """Cancels a relay whose reader has stalled; checking now and then costs less than a timer for
     each write."""
 
@@ -120,8 +120,8 @@
 
     def _check(self) -> None:
         """Cancel the relay if its write has waited too long, else check again when it could."""
-        since = self._writer.waiting_since
-        waited = 0.0 if since is None else self._loop.time() - since
+        waiting_since = self._writer.waiting_since
+        waited = 0.0 if waiting_since is None else self._loop.time() - waiting_since
         if waited >= self._timeout_seconds:
             self.stalled = True
             self._relay.cancel()
--- a/packages/quinceferry-daemon/src/quinceferryd/runs.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/runs.py
@@ -34,7 +34,7 @@
 class RequestRun:
     """One request with the events of its answer so far.
 
-    ``is_forwarded`` says that another router was asked to run it.
+    ``was_forwarded`` says that another router was asked to run it.
     """
 
     key: RequestKey
@@ -46,10 +46,10 @@
     readers: int = 0
     finished_at: float = 0.0
     stored_bytes: int = 0
-    text_dropped: bool = False
-    is_forwarded: bool = False
+    answer_dropped: bool = False
+    was_forwarded: bool = False
     task: asyncio.Task[None] | None = None
-    _changed: asyncio.Event | None = None
+    _updated: asyncio.Event | None = None
 
     def publish(self, event: AnswerEvent) -> None:
         """Add an event and wake all readers; the last event sets the outcome."""
@@ -63,11 +63,11 @@
                 self.outcome = Run(usage)
             case Failed(outcome=outcome):
                 self.outcome = outcome
-        if self._changed is not None:
-            self._changed.set()
-            self._changed = None
+        if self._updated is not None:
+            self._updated.set()
+            self._updated = None
 
-    async def follow(self) -> AnswerStream:
+    async def replay(self) -> AnswerStream:
         """Return all events from the first on, waiting for new ones.
 
         A slow reader holds up nobody: its position moves through the stored events, whose number
@@ -82,19 +82,19 @@
                 position += 1
             if self.outcome is not None:
                 return
-            if self._changed is None:
-                self._changed = asyncio.Event()
-            await self._changed.wait()
+            if self._updated is None:
+                self._updated = asyncio.Event()
+            await self._updated.wait()
 
     def compact(self) -> None:
         """Hold the answer of an ended run in few events and drop what only a running one needs."""
-        self.events = _joined(self.events)
+        self.events = _merge_chunks(self.events)
         self.task = None
 
-    def drop_text(self) -> None:
+    def drop_answer(self) -> None:
         """Keep only the end of the answer."""
         self.events = [event for event in self.events if not isinstance(event, Chunk)]
-        self.text_dropped = True
+        self.answer_dropped = True
 
 
 class RunStore:
@@ -104,8 +104,8 @@
         self._clock = clock
         self._max_stored_bytes = max_stored_bytes
         self._runs_by_key: dict[RequestKey, RequestRun] = {}
-        self._with_text: OrderedDict[RequestKey, RequestRun] = OrderedDict()
-        self._without_text: deque[RequestRun] = deque()
+        self._replayable_by_key: OrderedDict[RequestKey, RequestRun] = OrderedDict()
+        self._without_answer: deque[RequestRun] = deque()
         self._stored_bytes = 0
 
     def __len__(self) -> int:
@@ -125,7 +125,7 @@
         ticket_expires_at: datetime | None = None,
     ) -> RequestRun:
         """Start a run; a known run of the same key is replaced."""
-        self._forget(key)
+        self._remove(key)
         run = RequestRun(key, fingerprint, idempotent, ticket_expires_at)
         self._runs_by_key[key] = run
         return run
@@ -143,7 +143,7 @@
             return
         run.compact()
         run.finished_at = self._clock.monotonic()
-        self._with_text[run.key] = run
+        self._replayable_by_key[run.key] = run
         self._stored_bytes += run.stored_bytes
         self._expire()
 
@@ -157,50 +157,50 @@
     def _expire(self) -> None:
         """Drop texts and outcomes that are too old or too many."""
         now = self._clock.monotonic()
-        while self._with_text:
-            key, run = next(iter(self._with_text.items()))
+        while self._replayable_by_key:
+            key, run = next(iter(self._replayable_by_key.items()))
             is_recent = now - run.finished_at < ANSWER_RETENTION_SECONDS
             if is_recent and self._stored_bytes <= self._max_stored_bytes:
                 break
-            del self._with_text[key]
+            del self._replayable_by_key[key]
             self._stored_bytes -= run.stored_bytes
-            self._without_text.append(run)
-            run.drop_text()
-        while self._without_text:
-            run = self._without_text[0]
+            self._without_answer.append(run)
+            run.drop_answer()
+        while self._without_answer:
+            run = self._without_answer[0]
             if now - run.finished_at < OUTCOME_RETENTION_SECONDS:
                 break
-            self._without_text.popleft()
+            self._without_answer.popleft()
             if self._runs_by_key.get(run.key) is run:
                 del self._runs_by_key[run.key]
 
-    def _forget(self, key: RequestKey) -> None:
+    def _remove(self, key: RequestKey) -> None:
         """Drop all that is known of a request."""
         run = self._runs_by_key.pop(key, None)
         if run is None:
             return
-        if self._with_text.pop(key, None) is not None:
+        if self._replayable_by_key.pop(key, None) is not None:
             self._stored_bytes -= run.stored_bytes
 
 
-def _joined(events: list[AnswerEvent]) -> list[AnswerEvent]:
+def _merge_chunks(events: list[AnswerEvent]) -> list[AnswerEvent]:
     """Return the same answer with contiguous pieces joined; a piece of each token costs far more
     memory than its text."""
-    joined: list[AnswerEvent] = []
+    merged: list[AnswerEvent] = []
     pieces: list[Chunk] = []
     for event in events:
         is_piece = isinstance(event, Chunk)
         if pieces and not (is_piece and event.offset == pieces[-1].offset + pieces[-1].tokens):
-            joined.append(_join(pieces))
+            merged.append(_merge(pieces))
             pieces = []
         if is_piece:
             pieces.append(event)
         else:
-            joined.append(event)
-    return joined + [_join(pieces)] if pieces else joined
+            merged.append(event)
+    return merged + [_merge(pieces)] if pieces else merged
 
 
-def _join(pieces: list[Chunk]) -> Chunk:
+def _merge(pieces: list[Chunk]) -> Chunk:
     """Return contiguous pieces as one."""
     tokens = sum(piece.tokens for piece in pieces)
     text = "".join([piece.text for piece in pieces])
--- a/packages/quinceferry-daemon/src/quinceferryd/upstream_client.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/upstream_client.py
@@ -107,7 +107,7 @@
         :raises UpstreamUnknownRequestError: the upstream never began it, or forgot it.
         """
         if dispatch.request.kind is RequestKind.SERVICE:
-            return _unknown_request(dispatch)
+            return _refuse_service_resume(dispatch)
         return self._stream(dispatch, RESUME_PATH, b"", "resume")
 
     async def cancel(
@@ -122,12 +122,12 @@
         if upstream.kind is UpstreamKind.SERVICE:
             return None
         body = msgspec.json.encode(CancelRequest(request_id, workspace, incarnation, attempt))
-        reply = await self._call(upstream, "cancel", CANCEL_PATH, body)
+        reply = await self._exchange(upstream, "cancel", CANCEL_PATH, body)
         return _decode(reply, CancelReply, "upstream.cancel", upstream).used_tokens
 
     async def load(self, upstream: UpstreamSpec) -> LoadReport:
         """Read the load report."""
-        reply = await self._call(upstream, "load", LOAD_PATH)
+        reply = await self._exchange(upstream, "load", LOAD_PATH)
         return _decode(reply, LoadReport, "upstream.load", upstream)
 
     async def cache_events(self, upstream: UpstreamSpec, after: int) -> tuple[CacheEvent, ...]:
@@ -135,7 +135,7 @@
         if upstream.kind is UpstreamKind.SERVICE:
             return ()
         path = f"{CACHE_EVENTS_PATH}?after={after}"
-        reply = await self._call(upstream, "cache_events", path)
+        reply = await self._exchange(upstream, "cache_events", path)
         return _decode(reply, CacheEventsReply, "upstream.cache_events", upstream).events
 
     async def order(self, upstream: UpstreamSpec, order: EngineOrder) -> None:
@@ -143,14 +143,14 @@
 
         :raises UpstreamRefusedError: the engine checks fencing numbers and this one is old.
         """
-        await self._call(upstream, "order", ORDER_PATH, msgspec.json.encode(order))
+        await self._exchange(upstream, "order", ORDER_PATH, msgspec.json.encode(order))
 
-    async def _call(
+    async def _exchange(
         self, upstream: UpstreamSpec, verb: str, path: str, body: bytes | None = None
     ) -> bytes:
         """Make a short call, a POST if it has a body, and return the body of its reply."""
         step = f"upstream.{verb}"
-        with _upstream_errors(step, upstream):
+        with _translate_errors(step, upstream):
             response = await self._http.request(
                 "GET" if body is None else "POST",
                 _url(upstream, path),
@@ -159,7 +159,7 @@
                 timeout=self._call_timeout,
             )
         if response.status_code >= httpx.codes.BAD_REQUEST:
-            raise _refusal(response, response.content, step, upstream)
+            raise _status_error(response, response.content, step, upstream)
         return response.content
 
     async def _stream(
@@ -168,9 +168,9 @@
         """Open a completion or continue one, and return its events."""
         step = f"upstream.{verb}"
         upstream = dispatch.upstream
-        fresh = verb == "resume" or not dispatch.request.idempotent
-        with _upstream_errors(step, upstream):
-            request = self._request("POST", path, dispatch, body, fresh)
+        fresh_connection = verb == "resume" or not dispatch.request.idempotent
+        with _translate_errors(step, upstream):
+            request = self._build_request("POST", path, dispatch, body, fresh_connection)
             response = await self._http.send(request, stream=True)
             try:
                 await _check_completion(response, step, upstream)
@@ -188,14 +188,20 @@
         """Call a plain service and return its answer, whatever its status."""
         step = "upstream.run"
         upstream = dispatch.upstream
-        caller = dispatch.request
-        fresh = not caller.idempotent
-        with _upstream_errors(step, upstream):
-            request = self._request(caller.method, caller.path, dispatch, caller.body, fresh)
+        caller_request = dispatch.request
+        fresh_connection = not caller_request.idempotent
+        with _translate_errors(step, upstream):
+            request = self._build_request(
+                caller_request.method,
+                caller_request.path,
+                dispatch,
+                caller_request.body,
+                fresh_connection,
+            )
             response = await self._http.send(request, stream=True)
             try:
                 if NOT_BEGUN_HEADER in response.headers:
-                    raise _refusal(response, await response.aread(), step, upstream)
+                    raise _status_error(response, await response.aread(), step, upstream)
                 async for data in response.aiter_bytes():
                     yield Chunk(0, 0, "", data)
             finally:
@@ -203,21 +209,21 @@
         content_type = response.headers.get("content-type", "")
         yield Finished(Usage(0, 0), "stop", response.status_code, content_type)
 
-    def _request(
-        self, method: str, path: str, dispatch: Dispatch, body: bytes, fresh: bool
+    def _build_request(
+        self, method: str, path: str, dispatch: Dispatch, body: bytes, fresh_connection: bool
     ) -> httpx.Request:
         """Build the request that carries a dispatch."""
         return self._http.build_request(
             method,
             _url(dispatch.upstream, path),
             content=body,
-            headers=_headers(dispatch),
+            headers=_dispatch_headers(dispatch),
             timeout=self._stream_timeout,
-            extensions={FRESH_CONNECTION: fresh},
+            extensions={FRESH_CONNECTION: fresh_connection},
         )
 
 
-async def _unknown_request(dispatch: Dispatch) -> AsyncGenerator[AnswerEvent, None]:
+async def _refuse_service_resume(dispatch: Dispatch) -> AsyncGenerator[AnswerEvent, None]:
     """Refuse to resume a call of a plain service, which keeps no streams."""
     step = "upstream.resume"
     raise UpstreamUnknownRequestError("not an engine", step=step, peer=dispatch.upstream.id)
@@ -225,7 +231,7 @@
 
 
 @contextmanager
-def _upstream_errors(step: str, upstream: UpstreamSpec) -> Iterator[None]:
+def _translate_errors(step: str, upstream: UpstreamSpec) -> Iterator[None]:
     """Turn errors of the HTTP library and of decoding into those of the exception tree."""
     try:
         yield
@@ -244,10 +250,10 @@
     detail = await response.aread()
     if step == "upstream.resume" and response.status_code == UNKNOWN_REQUEST_STATUS:
         raise UpstreamUnknownRequestError(step=step, peer=upstream.id)
-    raise _refusal(response, detail, step, upstream)
+    raise _status_error(response, detail, step, upstream)
 
 
-def _refusal(
+def _status_error(
     response: httpx.Response, body: bytes, step: str, upstream: UpstreamSpec
 ) -> UpstreamError:
     """Return the error for a status that is not a success."""
@@ -273,7 +279,7 @@
     return f"{scheme}{upstream.address}{path}"
 
 
-def _headers(dispatch: Dispatch) -> dict[str, str]:
+def _dispatch_headers(dispatch: Dispatch) -> dict[str, str]:
     """Return the headers that name a request and bound its use."""
     return {
         "content-type": "application/json",
