--- a/features/fixtures_limits.py
+++ b/features/fixtures_limits.py
@@ -49,7 +49,7 @@
     @property
     def in_use(self) -> tuple[float, int]:
         """Return the part of the rates and the streams that may be used."""
-        return self.shares.in_use(WORKSPACE)
+        return self.shares.usable_parts(WORKSPACE)
 
     def see(self, member: Member) -> None:
         """Take in one record of the log."""
@@ -102,7 +102,7 @@
 
     def _ask(self, router: LimitRouter | None) -> None:
         if router is not None:
-            router.shares.refusal(request(), 1)
+            router.shares.check(request(), 1)
 
     def _order(self) -> list[LimitRouter]:
         if self.prompt:
--- a/features/steps/budgets.py
+++ b/features/steps/budgets.py
@@ -137,7 +137,7 @@
 def top_up_unknown(context, tokens, operation):
     async def act(bench):
         result = await bench.grant(tokens, operation)
-        assert result.failure().unknown, result
+        assert result.failure().is_outcome_unknown, result
 
     context.scene.acts.append(act)
 
@@ -223,7 +223,7 @@
 def check_top_up_rejected(context, tokens, operation):
     async def check(bench):
         result = await bench.grant(tokens, operation)
-        assert not result.failure().unknown
+        assert not result.failure().is_outcome_unknown
 
     context.scene.play(check)
 
--- a/features/steps/capacity.py
+++ b/features/steps/capacity.py
@@ -99,7 +99,7 @@
         folder = JournalCompactor(
             context.fleet, kv, bench.clock, random.Random(1), JournalSettings()
         )
-        context.folded = await folder.fold(OWNER)
+        context.folded = await folder.compact(OWNER)
         context.deletes_by_second = Counter(int(at) for at in kv.deleted_at)
         await writer.stop()
 
@@ -181,7 +181,7 @@
                 both = [writer.append(begin(number)), writer.append(settle(number))]
                 await asyncio.gather(*(appended.committed for appended in both))
             kv.bytes = 0
-            assert await compactor.fold(OWNER) == count
+            assert await compactor.compact(OWNER) == count
             context.bytes_by_fold.append(kv.bytes)
         context.state = await read_segments(kv, OWNER)
         await writer.stop()
--- a/features/steps/journal.py
+++ b/features/steps/journal.py
@@ -164,7 +164,7 @@
         bench.connect("r1").faults.key_prefix = "journals/"
         bench.connect("r1").faults.refuse_next = 1
         try:
-            await folder(bench).fold(context.name)
+            await folder(bench).compact(context.name)
         except KvUnavailableError:
             return
         raise AssertionError("the fold was not interrupted")
@@ -175,7 +175,7 @@
 @when("the journal is folded")
 def fold(context):
     async def act(bench, writer):
-        context.folded = await folder(bench).fold(context.name)
+        context.folded = await folder(bench).compact(context.name)
 
     context.acts.append(act)
 
--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -107,10 +107,10 @@
     shares = context.fleet.routers[0].shares
     context.refusals = []
     for number in range(count):
-        refusal = shares.refusal(request(f"r{number}"), 1)
+        refusal = shares.check(request(f"r{number}"), 1)
         context.refusals.append(refusal)
         if refusal is None:
-            shares.take(request(f"r{number}"), 1)
+            shares.count_admission(request(f"r{number}"), 1)
 
 
 @then("the parts in use never added up to more than the whole")
@@ -176,9 +176,9 @@
     refusal = context.refusals[-1]
     assert 0 < refusal.retry_after_seconds < 1
     fleet.clock.seconds += refusal.retry_after_seconds * 0.9
-    assert fleet.routers[0].shares.refusal(request("early"), 1) is not None
+    assert fleet.routers[0].shares.check(request("early"), 1) is not None
     fleet.clock.seconds += refusal.retry_after_seconds * 0.1 + 1e-6
-    assert fleet.routers[0].shares.refusal(request("late"), 1) is None
+    assert fleet.routers[0].shares.check(request("late"), 1) is None
 
 
 @then("the last one is refused with streams_limited")
@@ -190,8 +190,8 @@
 @then("after one stream ends the next request is admitted")
 def check_next_stream(context):
     shares = context.fleet.routers[0].shares
-    shares.leave(request("r0"))
-    assert shares.refusal(request("r9"), 1) is None
+    shares.count_completion(request("r0"))
+    assert shares.check(request("r9"), 1) is None
 
 
 @given("{routers:d} routers in {zones:d} zones and {count:d} limited quiet workspaces")
@@ -225,7 +225,7 @@
     async def update():
         shares = LimitShares(board, VirtualClock())
         for workspace in board.configuration.workspaces_by_id:
-            shares.in_use(workspace)
+            shares.usable_parts(workspace)
         shares.update()
         return {claim.workspace for claim in board.limit_claims}
 
--- a/features/steps/router_faults.py
+++ b/features/steps/router_faults.py
@@ -114,7 +114,7 @@
             accounts.current.journal.append(bill)
         accounts.current.journal.fence()
         fleet.connections_by_name[router].faults.outage = False
-        await accounts.leave()
+        await accounts.flush_and_retire()
 
     add_act(context, act)
 
--- a/packages/quinceferry-daemon/src/quinceferryd/accounts.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/accounts.py
@@ -17,10 +17,10 @@
 from quinceferryd.blackboard import Blackboard, RouterState
 from quinceferryd.controllers import TaskGroupController
 from quinceferryd.holdings import Holding, decode_budget
-from quinceferryd.journal import Appended, JournalWriter
+from quinceferryd.journal import JournalWriter, PendingEntry
 from quinceferryd.settings import BudgetSettings, JournalSettings
 
-BILLS_SUFFIX = "+bills"
+BILLS_JOURNAL_SUFFIX = "+bills"
 """Ends the name of a journal that holds only bills of a closed incarnation."""
 
 
@@ -71,14 +71,14 @@
     ) -> None:
         super().__init__()
         self.current: Account | None = None
-        self.former: list[Account] = []
+        self.closed_accounts: list[Account] = []
         self._blackboard = blackboard
         self._kv = kv
         self._clock = clock
         self._rng = rng
         self._budget_settings = budgets
         self._journal_settings = journal
-        self._carried: list[Settle] = []
+        self._pending_settlements: list[Settle] = []
         self.allotments_type = AllotmentController
         """Class of the allotments, which may be replaced before the first join."""
         self.on_open: list[Callable[[Account], None]] = []
@@ -95,7 +95,7 @@
             self._clock,
             self._rng,
             self._journal_settings,
-            self._note_fenced,
+            self._mark_fenced,
             self.count_members,
         )
         allotments = self.allotments_type(
@@ -104,16 +104,16 @@
             self._clock,
             self._rng,
             self._budget_settings,
-            self._note_fenced,
+            self._mark_fenced,
             self._blackboard.kv,
         )
         self.current = Account(journal, allotments)
         for hook in self.on_open:
             hook(self.current)
         await self.current.start()
-        for entry in self._carried:
+        for entry in self._pending_settlements:
             journal.append(entry)
-        self._carried.clear()
+        self._pending_settlements.clear()
 
     async def close(self, incarnation: IncarnationId) -> None:
         """Stop starting requests under a closed incarnation."""
@@ -123,26 +123,26 @@
         self.current = None
         account.closed = True
         account.journal.fence()
-        self._carry(account.journal.take_uncommitted())
-        self.former.append(account)
+        self._append_or_defer(account.journal.take_uncommitted())
+        self.closed_accounts.append(account)
         if account.open_requests == 0:
-            self.spawn(self._wind_up(account), f"wind up {incarnation}")
+            self.spawn(self._retire_account(account), f"wind up {incarnation}")
 
-    def settle(self, account: Account, entry: Settle) -> Appended | None:
+    def settle(self, account: Account, entry: Settle) -> PendingEntry | None:
         """Record a settlement, in the successor's journal if the account is closed.
 
         :return: the journal entry, if the account is open.
         """
         if not account.closed:
             return account.journal.append(entry)
-        self._carry([entry])
+        self._append_or_defer([entry])
         return None
 
     def release(self, account: Account) -> None:
         """Note that a request no longer uses an account."""
         account.open_requests -= 1
         if account.closed and account.open_requests == 0:
-            self.spawn(self._wind_up(account), f"wind up {account.incarnation}")
+            self.spawn(self._retire_account(account), f"wind up {account.incarnation}")
 
     async def recall(self, workspace: WorkspaceId, wanted: int) -> RecallReply:
         """Return unused tokens to the budget record because a peer lacks them."""
@@ -154,11 +154,11 @@
         except FencedError:
             return RecallReply(0, 0)
 
-    def write_bills(self, bills: list[Settle]) -> None:
+    def append_bills(self, bills: list[Settle]) -> None:
         """Append bills of other incarnations; one that is there already counts once."""
-        self._carry(list(bills))
+        self._append_or_defer(list(bills))
 
-    async def leave(self) -> None:
+    async def flush_and_retire(self) -> None:
         """Flush the journal and settle all allotments, at a planned stop."""
         account = self.current
         if account is not None:
@@ -168,9 +168,9 @@
             account = None
         if account is not None:
             for workspace, holding in account.allotments.holdings_by_workspace.items():
-                await self._retire(account.incarnation, workspace, holding)
-        elif self._carried:
-            await self._write_carried()
+                await self._retire_allotment(account.incarnation, workspace, holding)
+        elif self._pending_settlements:
+            await self._write_pending_settlements()
         await asyncio.gather(*self._tasks)
 
     async def stop(self) -> None:
@@ -178,50 +178,50 @@
         await super().stop()
         if self.current is not None:
             await self.current.stop()
-        for account in self.former:
+        for account in self.closed_accounts:
             await account.stop()
 
     def count_members(self) -> int:
         """Return how many routers share the key-value service."""
         return len(self._blackboard.members_by_incarnation)
 
-    async def _write_carried(self) -> None:
+    async def _write_pending_settlements(self) -> None:
         """Make bills durable that no further incarnation of this process will write.
 
         They go to a journal of their own, which nobody else appends to and which begins nothing.
         """
-        name = IncarnationId(f"{self._carried[0].origin}{BILLS_SUFFIX}")
+        name = IncarnationId(f"{self._pending_settlements[0].origin}{BILLS_JOURNAL_SUFFIX}")
         journal = JournalWriter(
-            name, self._kv, self._clock, self._rng, self._journal_settings, self._note_fenced
+            name, self._kv, self._clock, self._rng, self._journal_settings, self._mark_fenced
         )
         await journal.start()
-        for entry in self._carried:
+        for entry in self._pending_settlements:
             journal.append(entry)
-        self._carried.clear()
+        self._pending_settlements.clear()
         await journal.flush()
         await journal.stop()
 
-    def _note_fenced(self) -> None:
+    def _mark_fenced(self) -> None:
         """Note that a write met a closed journal or allotment."""
         self._blackboard.state = RouterState.FENCED
 
-    def _carry(self, entries: list[Entry]) -> None:
+    def _append_or_defer(self, entries: list[Entry]) -> None:
         """Keep settlements for the journal of the next incarnation."""
         settlements = [entry for entry in entries if not isinstance(entry, Begin)]
         if self.current is None:
-            self._carried.extend(settlements)
+            self._pending_settlements.extend(settlements)
             return
         for entry in settlements:
             self.current.journal.append(entry)
 
-    async def _wind_up(self, account: Account) -> None:
+    async def _retire_account(self, account: Account) -> None:
         """Free what a closed incarnation did not spend."""
         await account.stop()
         for workspace, holding in account.allotments.holdings_by_workspace.items():
-            await self._retire(account.incarnation, workspace, holding)
-        self.former.remove(account)
+            await self._retire_allotment(account.incarnation, workspace, holding)
+        self.closed_accounts.remove(account)
 
-    async def _retire(
+    async def _retire_allotment(
         self, incarnation: IncarnationId, workspace: WorkspaceId, holding: Holding
     ) -> None:
         """Replace one allotment by what was spent of it, however often it has to be tried."""
--- a/packages/quinceferry-daemon/src/quinceferryd/allotments.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/allotments.py
@@ -25,7 +25,7 @@
 from quinceferryd.blackboard import KvHealth
 from quinceferryd.controllers import TaskGroupController
 from quinceferryd.holdings import (
-    MAX_CAS_TRIES,
+    MAX_CAS_ATTEMPTS,
     BudgetUnreachable,
     Holding,
     ReserveError,
@@ -75,7 +75,7 @@
 
     def ledger(self, workspace: WorkspaceId) -> Ledger:
         """Return the ledger of a workspace."""
-        return self._holding(workspace).ledger
+        return self._get_or_create_holding(workspace).ledger
 
     async def reserve(
         self, workspace: WorkspaceId, request: RequestId, tokens: int
@@ -84,8 +84,8 @@
 
         :return: the tokens reserved, or why there are too few.
         """
-        holding = self._holding(workspace)
-        holding.used_at = self._clock.monotonic()
+        holding = self._get_or_create_holding(workspace)
+        holding.last_used_at = self._clock.monotonic()
         holding.ledger.note_demand(tokens, self._clock.monotonic())
         if isinstance(holding.ledger.reserve(request, tokens), Success):
             self._refill_if_low(workspace, holding)
@@ -105,10 +105,10 @@
 
     def settle(self, workspace: WorkspaceId, request: RequestId, used: int) -> int:
         """Replace a request's reservation by its use; return the tokens charged."""
-        holding = self._holding(workspace)
+        holding = self._get_or_create_holding(workspace)
         charged = holding.ledger.settle(request, used)
-        holding.settled.set()
-        holding.settled = asyncio.Event()
+        holding.next_settlement.set()
+        holding.next_settlement = asyncio.Event()
         return charged
 
     async def wait_settled(self, workspace: WorkspaceId, timeout_seconds: float) -> bool:
@@ -116,7 +116,7 @@
 
         :return: whether one came in time.
         """
-        event = self._holding(workspace).settled
+        event = self._get_or_create_holding(workspace).next_settlement
         try:
             async with asyncio.timeout(timeout_seconds):
                 await event.wait()
@@ -135,10 +135,10 @@
         async with holding.lock:
             returned = min(wanted, holding.ledger.available)
             if returned > 0:
-                returned = await self._give_back(workspace, holding, returned)
+                returned = await self._return_tokens(workspace, holding, returned)
             return RecallReply(returned, holding.ledger.available)
 
-    def _holding(self, workspace: WorkspaceId) -> Holding:
+    def _get_or_create_holding(self, workspace: WorkspaceId) -> Holding:
         """Return the holding of a workspace, creating it."""
         return self.holdings_by_workspace.setdefault(workspace, Holding())
 
@@ -147,17 +147,17 @@
     ) -> Result[None, ReserveError]:
         """Draw until ``wanted`` tokens are available; the caller holds the lock."""
         backoff = Backoff(self._rng)
-        for _ in range(MAX_CAS_TRIES):
+        for _ in range(MAX_CAS_ATTEMPTS):
             try:
-                entry, record = await self._read(workspace, holding)
+                entry, record = await self._read_record(workspace, holding)
                 missing = wanted - holding.ledger.available
                 if missing <= 0:
                     return Success(None)
                 if missing > record.free:
                     return Failure(BudgetShortfall(missing, max(0, record.free)))
-                ahead = self._target(holding, record) - holding.ledger.available
-                tokens = min(record.free, max(missing, ahead))
-                await self._write(workspace, holding, entry, record, tokens)
+                refill_tokens = self._target_tokens(holding, record) - holding.ledger.available
+                tokens = min(record.free, max(missing, refill_tokens))
+                await self._write_allotment(workspace, holding, entry, record, tokens)
                 return Success(None)
             except KvConflictError:
                 await self._clock.sleep(backoff.next_seconds())
@@ -165,7 +165,7 @@
                 return Failure(BudgetUnreachable(wanted))
         return Failure(BudgetUnreachable(wanted))
 
-    async def _give_back(self, workspace: WorkspaceId, holding: Holding, tokens: int) -> int:
+    async def _return_tokens(self, workspace: WorkspaceId, holding: Holding, tokens: int) -> int:
         """Return tokens; the caller holds the lock.
 
         The ledger is debited before the write: a lost answer then leaves tokens unused, never used
@@ -173,41 +173,41 @@
 
         :return: the tokens known to be back in the record.
         """
-        debited = 0
-        for _ in range(MAX_CAS_TRIES):
+        debited_tokens = 0
+        for _ in range(MAX_CAS_ATTEMPTS):
             try:
-                entry, record = await self._read(workspace, holding)
-                if debited == 0:
-                    debited = min(tokens, holding.ledger.available)
-                    holding.ledger.drawn -= debited
-                await self._write(workspace, holding, entry, record, 0)
-                return debited
+                entry, record = await self._read_record(workspace, holding)
+                if debited_tokens == 0:
+                    debited_tokens = min(tokens, holding.ledger.available)
+                    holding.ledger.drawn -= debited_tokens
+                await self._write_allotment(workspace, holding, entry, record, 0)
+                return debited_tokens
             except KvConflictError:
                 continue
             except KvUnavailableError:
                 return 0
         return 0
 
-    async def _read(
+    async def _read_record(
         self, workspace: WorkspaceId, holding: Holding
     ) -> tuple[KvEntry | None, BudgetRecord]:
         """Read the record and take over what it says of operations with lost answers."""
         entry = await self._kv.get(budget_key(workspace))
         record = decode_budget(workspace, entry)
         holding.record = record
-        mine = record.allotments_by_incarnation.get(self.incarnation)
+        own_allotment = record.allotments_by_incarnation.get(self.incarnation)
         # A record that has lost the allotment was settled by another router after a close.
-        is_retired = mine is None and holding.ledger.drawn > 0
-        if is_retired or (mine is not None and mine.closed):
+        is_retired = own_allotment is None and holding.ledger.drawn > 0
+        if is_retired or (own_allotment is not None and own_allotment.closed):
             self._on_fenced()
             raise FencedError("the allotment was closed", step=_DRAW_STEP, peer=workspace)
-        holding.unresolved = False
-        if mine is not None and mine.sequence == holding.sequence:
-            holding.ledger.drawn = mine.drawn
-            holding.ledger.outage_tokens = mine.outage_tokens
+        holding.has_unknown_write = False
+        if own_allotment is not None and own_allotment.sequence == holding.sequence:
+            holding.ledger.drawn = own_allotment.drawn
+            holding.ledger.outage_tokens = own_allotment.outage_tokens
         return entry, record
 
-    async def _write(
+    async def _write_allotment(
         self,
         workspace: WorkspaceId,
         holding: Holding,
@@ -218,7 +218,7 @@
         """Write the allotment with ``tokens`` more than the ledger holds, and take it over."""
         ledger = holding.ledger
         holding.sequence += 1
-        holding.unresolved = True
+        holding.has_unknown_write = True
         drawn = ledger.drawn + tokens
         # All that is unspent may be spent in an outage. Tokens spent since the last write count
         # twice, which is on the safe side.
@@ -229,7 +229,7 @@
         ledger.outage_tokens = min(ledger.outage_tokens, outage_tokens)
         version = entry.version if entry else ABSENT_VERSION
         await self._kv.put_if(budget_key(workspace), msgspec.json.encode(changed), version)
-        holding.unresolved = False
+        holding.has_unknown_write = False
         holding.record = changed
         ledger.drawn = drawn
         ledger.outage_tokens = outage_tokens
@@ -238,17 +238,19 @@
         """Start a refill when too little of the target is left."""
         if holding.refilling or holding.record is None:
             return
-        low = self._target(holding, holding.record) * self._settings.refill_below_share
-        if holding.ledger.available >= low:
+        refill_threshold = (
+            self._target_tokens(holding, holding.record) * self._settings.refill_below_share
+        )
+        if holding.ledger.available >= refill_threshold:
             return
         now = self._clock.monotonic()
-        if now - holding.refilled_at < MIN_REFILL_INTERVAL_SECONDS:
+        if now - holding.last_refill_at < MIN_REFILL_INTERVAL_SECONDS:
             return
-        holding.refilled_at = now
+        holding.last_refill_at = now
         holding.refilling = True
         self.spawn(self._refill(workspace, holding), f"refill {workspace}")
 
-    def _target(self, holding: Holding, record: BudgetRecord) -> int:
+    def _target_tokens(self, holding: Holding, record: BudgetRecord) -> int:
         """Return how many unused tokens this router should hold."""
         rate = holding.ledger.demand_tokens_per_second
         return target_size(record, self.incarnation, rate, self._policy)
@@ -257,11 +259,11 @@
         """Draw up to the target ahead of demand; the next request tries again if this fails."""
         try:
             async with holding.lock:
-                entry, record = await self._read(workspace, holding)
-                missing = self._target(holding, record) - holding.ledger.available
+                entry, record = await self._read_record(workspace, holding)
+                missing = self._target_tokens(holding, record) - holding.ledger.available
                 tokens = min(missing, record.free)
                 if tokens > 0:
-                    await self._write(workspace, holding, entry, record, tokens)
+                    await self._write_allotment(workspace, holding, entry, record, tokens)
         except (FencedError, KvConflictError, KvUnavailableError):
             return
         finally:
@@ -274,8 +276,8 @@
             await self._clock.sleep(idle_seconds / 2)
             now = self._clock.monotonic()
             for workspace, holding in list(self.holdings_by_workspace.items()):
-                idle = now - holding.used_at >= idle_seconds
-                if holding.unresolved or (idle and holding.ledger.available > 0):
+                idle = now - holding.last_used_at >= idle_seconds
+                if holding.has_unknown_write or (idle and holding.ledger.available > 0):
                     await self._return_idle(workspace, holding, idle)
 
     async def _return_idle(self, workspace: WorkspaceId, holding: Holding, idle: bool) -> None:
@@ -283,6 +285,6 @@
         try:
             async with holding.lock:
                 tokens = holding.ledger.available if idle else 0
-                await self._give_back(workspace, holding, tokens)
+                await self._return_tokens(workspace, holding, tokens)
         except FencedError:
             return
--- a/packages/quinceferry-daemon/src/quinceferryd/application.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/application.py
@@ -32,7 +32,7 @@
 from quinceferryd.pipeline import Pipeline
 from quinceferryd.proofs import JournalProofs
 from quinceferryd.readiness import UpstreamReadiness
-from quinceferryd.recording import Recorder
+from quinceferryd.recording import RequestRecorder
 from quinceferryd.recovery import RecoveryController
 from quinceferryd.retention import RetentionController
 from quinceferryd.scheduling import Scheduler
@@ -183,7 +183,7 @@
         self.copy_sender = CopySender(self.blackboard, self.peers, self.membership, self.clock)
         self.copies = CopyStore()
         self.accounts.on_open.append(self._attach_copies)
-        recorder = Recorder(
+        recorder = RequestRecorder(
             self.blackboard,
             self.accounts,
             shortages,
@@ -265,8 +265,8 @@
         for what they used before any token is returned.
         """
         await self.pipeline.stop()
-        self.accounts.write_bills(self.copies.settlements())
-        await self.accounts.leave()
+        self.accounts.append_bills(self.copies.settlements())
+        await self.accounts.flush_and_retire()
 
     async def _on_fenced(self, incarnation: IncarnationId) -> None:
         """Wind up the account of an incarnation that another router has closed."""
--- a/packages/quinceferry-daemon/src/quinceferryd/billing.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/billing.py
@@ -18,7 +18,7 @@
     estimated: bool = False
 
 
-def bill_of(result: StreamResult, token_cap: int, max_output_tokens: int) -> RequestBill:
+def compute_bill(result: StreamResult, token_cap: int, max_output_tokens: int) -> RequestBill:
     """Work out the bill of a request whose attempts have all ended.
 
     Every attempt that may have run is charged, with its cap if its use is not known. Only the last
@@ -29,17 +29,19 @@
     :param token_cap: bound on prompt and output of each attempt.
     :param max_output_tokens: bound on the output, a part of the cap.
     """
-    known = [attempt.tokens for attempt in result.possible_runs]
-    charged = sum(token_cap if tokens is None else min(tokens, token_cap) for tokens in known)
-    if not known:
+    used_tokens = [attempt.tokens for attempt in result.possible_runs]
+    charged_tokens = sum(
+        token_cap if tokens is None else min(tokens, token_cap) for tokens in used_tokens
+    )
+    if not used_tokens:
         return RequestBill(0, 0, run=False)
-    last = known[-1]
-    if last == 0 and not result.finished:
-        return RequestBill(0, charged, run=False)
-    if last is not None:
-        billed = min(last, token_cap)
-        return RequestBill(billed, charged - billed, run=True)
+    last_use = used_tokens[-1]
+    if last_use == 0 and not result.finished:
+        return RequestBill(0, charged_tokens, run=False)
+    if last_use is not None:
+        billed_tokens = min(last_use, token_cap)
+        return RequestBill(billed_tokens, charged_tokens - billed_tokens, run=True)
     if result.delivered_tokens == 0:
-        return RequestBill(0, charged, run=False)
-    billed = min(token_cap, token_cap - max_output_tokens + result.delivered_tokens)
-    return RequestBill(billed, charged - billed, run=True, estimated=True)
+        return RequestBill(0, charged_tokens, run=False)
+    billed_tokens = min(token_cap, token_cap - max_output_tokens + result.delivered_tokens)
+    return RequestBill(billed_tokens, charged_tokens - billed_tokens, run=True, estimated=True)
--- a/packages/quinceferry-daemon/src/quinceferryd/budgets.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/budgets.py
@@ -26,7 +26,7 @@
     unique_bills,
 )
 from quinceferry_core.models import OperationId, WorkspaceId
-from quinceferryd.holdings import MAX_CAS_TRIES, decode_budget
+from quinceferryd.holdings import MAX_CAS_ATTEMPTS, decode_budget
 
 DEFAULT_PAGE_SIZE = 500
 
@@ -35,11 +35,11 @@
 class TopUpRejected:
     """A top-up that did not happen, or whose effect is not known yet.
 
-    After ``unknown``, repeat the call with the same operation id.
+    After ``is_outcome_unknown``, repeat the call with the same operation id.
     """
 
     detail: str
-    unknown: bool = False
+    is_outcome_unknown: bool = False
 
 
 class BudgetService:
@@ -59,19 +59,21 @@
         if tokens <= 0:
             return Failure(TopUpRejected("tokens must be positive"))
         try:
-            intent = await self._intend(workspace, TopUpRecord(operation, tokens))
-            intended = msgspec.json.decode(intent.value, type=TopUpRecord)
-            if intended.tokens != tokens:
+            stored = await self._create_top_up_record(workspace, TopUpRecord(operation, tokens))
+            top_up_record = msgspec.json.decode(stored.value, type=TopUpRecord)
+            if top_up_record.tokens != tokens:
                 return Failure(TopUpRejected("the operation id was used for another amount"))
-            if intended.applied:
+            if top_up_record.applied:
                 return Success(await self.balance(workspace))
-            record = await self._apply(workspace, intended)
-            await self._mark_applied(workspace, intent, intended)
+            record = await self._apply_top_up(workspace, top_up_record)
+            await self._mark_applied(workspace, stored, top_up_record)
             return Success(Balance.of(record))
         except KvUnavailableError as error:
-            return Failure(TopUpRejected(str(error), unknown=True))
+            return Failure(TopUpRejected(str(error), is_outcome_unknown=True))
         except KvConflictError as error:
-            return Failure(TopUpRejected(f"too many concurrent changes: {error}", unknown=True))
+            return Failure(
+                TopUpRejected(f"too many concurrent changes: {error}", is_outcome_unknown=True)
+            )
 
     async def balance(self, workspace: WorkspaceId) -> Balance:
         """Read a workspace's balance.
@@ -97,39 +99,41 @@
         :raises KvUnavailableError: the key-value service did not answer.
         """
         entries: list[Settle] = []
-        for found in await self._kv.list(JOURNAL_PREFIX):
-            slot = msgspec.json.decode(found.value, type=Slot)
+        for stored_entry in await self._kv.list(JOURNAL_PREFIX):
+            slot = msgspec.json.decode(stored_entry.value, type=Slot)
             entries.extend(entry for entry in slot.entries if isinstance(entry, Settle))
         # Segments are read after the slots they are folded from, so that no bill is missed.
-        for found in await self._kv.list(SEGMENT_PREFIX):
-            entries.extend(msgspec.json.decode(found.value, type=Segment).bills)
-        mine = (entry for entry in entries if entry.workspace == workspace)
-        return page_of(unique_bills(mine), workspace, cursor, size)
+        for stored_entry in await self._kv.list(SEGMENT_PREFIX):
+            entries.extend(msgspec.json.decode(stored_entry.value, type=Segment).bills)
+        workspace_bills = (entry for entry in entries if entry.workspace == workspace)
+        return page_of(unique_bills(workspace_bills), workspace, cursor, size)
 
-    async def _intend(self, workspace: WorkspaceId, wanted: TopUpRecord) -> KvEntry:
+    async def _create_top_up_record(self, workspace: WorkspaceId, wanted: TopUpRecord) -> KvEntry:
         """Create the top-up's own record, or return the one that is there."""
         key = top_up_key(workspace, wanted.operation)
         try:
             return await self._kv.put_if(key, msgspec.json.encode(wanted), ABSENT_VERSION)
         except KvConflictError:
-            found = await self._kv.get(key)
-            if found is None:
+            stored_entry = await self._kv.get(key)
+            if stored_entry is None:
                 raise
-            return found
+            return stored_entry
 
-    async def _apply(self, workspace: WorkspaceId, intended: TopUpRecord) -> BudgetRecord:
+    async def _apply_top_up(
+        self, workspace: WorkspaceId, top_up_record: TopUpRecord
+    ) -> BudgetRecord:
         """Add the tokens to the budget record, unless they are already there."""
         key = budget_key(workspace)
-        for _ in range(MAX_CAS_TRIES):
+        for _ in range(MAX_CAS_ATTEMPTS):
             entry = await self._kv.get(key)
             record = decode_budget(workspace, entry)
-            if intended.operation in record.pending_top_ups:
+            if top_up_record.operation in record.pending_top_ups:
                 return record
             if len(record.pending_top_ups) >= MAX_PENDING_TOP_UPS:
-                record = await self._forget_applied(workspace, record)
-            if await self._is_applied(workspace, intended.operation):
+                record = await self._remove_applied_top_ups(workspace, record)
+            if await self._is_applied(workspace, top_up_record.operation):
                 return record
-            changed = top_up(record, intended.operation, intended.tokens)
+            changed = top_up(record, top_up_record.operation, top_up_record.tokens)
             version = entry.version if entry else ABSENT_VERSION
             try:
                 await self._kv.put_if(key, msgspec.json.encode(changed), version)
@@ -140,10 +144,15 @@
 
     async def _is_applied(self, workspace: WorkspaceId, operation: OperationId) -> bool:
         """Read whether a top-up's own record is marked as applied."""
-        found = await self._kv.get(top_up_key(workspace, operation))
-        return found is not None and msgspec.json.decode(found.value, type=TopUpRecord).applied
-
-    async def _forget_applied(self, workspace: WorkspaceId, record: BudgetRecord) -> BudgetRecord:
+        stored_entry = await self._kv.get(top_up_key(workspace, operation))
+        return (
+            stored_entry is not None
+            and msgspec.json.decode(stored_entry.value, type=TopUpRecord).applied
+        )
+
+    async def _remove_applied_top_ups(
+        self, workspace: WorkspaceId, record: BudgetRecord
+    ) -> BudgetRecord:
         """Drop the operation ids of top-ups that are marked as applied."""
         for operation in record.pending_top_ups:
             if await self._is_applied(workspace, operation):
@@ -151,12 +160,12 @@
         return record
 
     async def _mark_applied(
-        self, workspace: WorkspaceId, intent: KvEntry, intended: TopUpRecord
+        self, workspace: WorkspaceId, stored: KvEntry, top_up_record: TopUpRecord
     ) -> None:
         """Mark the top-up's own record, so that the budget record may forget its id."""
-        value = msgspec.json.encode(replace(intended, applied=True))
+        value = msgspec.json.encode(replace(top_up_record, applied=True))
         try:
-            await self._kv.put_if(intent.key, value, intent.version)
+            await self._kv.put_if(stored.key, value, stored.version)
         except KvConflictError:
             # Another call with the same operation id has marked it.
             return
--- a/packages/quinceferry-daemon/src/quinceferryd/execution.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/execution.py
@@ -12,12 +12,17 @@
 from quinceferryd.accounts import AccountController
 from quinceferryd.blackboard import Blackboard
 from quinceferryd.forwards import Forwarder
-from quinceferryd.journal import Appended
+from quinceferryd.journal import PendingEntry
 from quinceferryd.metrics import Metrics
-from quinceferryd.recording import BILLING_UNREACHABLE, Execution, Recorder, not_ready
+from quinceferryd.recording import (
+    BILLING_UNREACHABLE,
+    Execution,
+    RequestRecorder,
+    router_not_ready_refusal,
+)
 from quinceferryd.runs import RequestRun
 from quinceferryd.scheduling import Permit, Scheduler
-from quinceferryd.shortages import ForwardTo, ShortageHandler, may_move
+from quinceferryd.shortages import ForwardTo, ShortageHandler, may_forward
 from quinceferryd.streams import StreamRunner
 
 MAX_TEMPLATE_TOKENS = 16
@@ -34,7 +39,7 @@
         shortages: ShortageHandler,
         scheduler: Scheduler,
         streams: StreamRunner,
-        recorder: Recorder,
+        recorder: RequestRecorder,
         forwarder: Forwarder,
         clock: Clock,
         metrics: Metrics,
@@ -56,7 +61,7 @@
         """
         account = self._accounts.current
         if account is None:
-            run.publish(not_ready("execute"))
+            run.publish(router_not_ready_refusal("execute"))
             return
         execution = Execution(request, account, self._token_cap(request))
         account.open_requests += 1
@@ -69,11 +74,13 @@
         """Run a request where there are tokens for it."""
         account, request = execution.account, execution.request
         try:
-            reserved = await self._shortages.cover(account, request, execution.token_cap)
+            reservation = await self._shortages.reserve_or_find_holders(
+                account, request, execution.token_cap
+            )
         except FencedError:
-            run.publish(not_ready("budget.reserve"))
+            run.publish(router_not_ready_refusal("budget.reserve"))
             return
-        match reserved:
+        match reservation:
             case Failure(failed):
                 run.publish(failed)
             case Success(ForwardTo(members=members)):
@@ -85,7 +92,7 @@
         """Run a request whose tokens are reserved, and settle it whatever happens."""
         permit: Permit | None = None
         final_event: AnswerEvent | None = None
-        settled: Appended | None = None
+        settled: PendingEntry | None = None
         try:
             admitted = await self._admit(execution)
             if isinstance(admitted, Failure):
@@ -98,10 +105,10 @@
                 permit.release()
             settled = self._recorder.settle(execution)
         if settled is not None and isinstance(final_event, Finished):
-            await self._recorder.secure(settled)
+            await self._recorder.wait_until_recorded(settled)
         was_never_sent = not execution.result.possible_runs
-        if final_event == BILLING_UNREACHABLE and was_never_sent and may_move(execution.request):
-            members = self._shortages.holders(execution.account, execution.request.workspace)
+        if final_event == BILLING_UNREACHABLE and was_never_sent and may_forward(execution.request):
+            members = self._shortages.live_holders(execution.account, execution.request.workspace)
             await self._forwarder.forward(run, execution.request, members, BILLING_UNREACHABLE)
         elif final_event is not None:
             run.publish(final_event)
--- a/packages/quinceferry-daemon/src/quinceferryd/holdings.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/holdings.py
@@ -10,7 +10,7 @@
 from quinceferry_core.ledgers import Ledger
 from quinceferry_core.models import WorkspaceId
 
-MAX_CAS_TRIES = 12
+MAX_CAS_ATTEMPTS = 12
 """How often a changed record is read and written again before giving up."""
 
 
@@ -28,19 +28,19 @@
 class Holding:
     """What this incarnation holds of one workspace's budget.
 
-    ``sequence`` numbers the last operation tried on the budget record; ``unresolved`` means that
-    its answer was lost. ``record`` is the record as last read. Times are in monotonic seconds.
+    ``sequence`` numbers the last operation tried on the budget record; ``has_unknown_write`` means
+    that its answer was lost. ``record`` is the record as last read. Times are in monotonic seconds.
     """
 
     ledger: Ledger = field(default_factory=Ledger)
     sequence: int = 0
     record: BudgetRecord | None = None
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
-    settled: asyncio.Event = field(default_factory=asyncio.Event)
-    unresolved: bool = False
+    next_settlement: asyncio.Event = field(default_factory=asyncio.Event)
+    has_unknown_write: bool = False
     refilling: bool = False
-    refilled_at: float = float("-inf")
-    used_at: float = 0.0
+    last_refill_at: float = float("-inf")
+    last_used_at: float = 0.0
 
 
 def decode_budget(workspace: WorkspaceId, entry: KvEntry | None) -> BudgetRecord:
--- a/packages/quinceferry-daemon/src/quinceferryd/journal.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/journal.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Appended:
+class PendingEntry:
     """An entry that waits for its commit; ``committed`` fails with ``FencedError``."""
 
     entry: Entry
@@ -46,7 +46,7 @@
     fences the writer for good; entries not committed by then are returned by ``take_uncommitted``.
 
     :param on_fenced: called once when another router has closed the journal.
-    :param members: counts the routers that share the key-value service.
+    :param count_members: counts the routers that share the key-value service.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         rng: Random,
         settings: JournalSettings,
         on_fenced: Callable[[], None],
-        members: Callable[[], int] = lambda: 1,
+        count_members: Callable[[], int] = lambda: 1,
     ) -> None:
         super().__init__()
         self.incarnation = incarnation
@@ -70,33 +70,33 @@
         self._rng = rng
         self._settings = settings
         self._on_fenced = on_fenced
-        self._members = members
-        self._queue: deque[Appended] = deque()
-        self._wake = asyncio.Event()
-        self._idle = asyncio.Event()
-        self._idle.set()
+        self._count_members = count_members
+        self._queue: deque[PendingEntry] = deque()
+        self._has_entries = asyncio.Event()
+        self._is_drained = asyncio.Event()
+        self._is_drained.set()
 
     async def start(self) -> None:
         """Start the commit loop."""
         self.spawn(self._commit_forever(), "journal")
 
-    def append(self, entry: Entry) -> Appended:
+    def append(self, entry: Entry) -> PendingEntry:
         """Queue an entry.
 
         :return: the entry with a future that ends when it is durable.
         """
         committed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         # Most callers do not wait for a settlement; an unread failure must not be reported.
-        committed.add_done_callback(_read_exception)
-        appended = Appended(entry, self.next_position, committed)
+        committed.add_done_callback(_retrieve_exception)
+        appended = PendingEntry(entry, self.next_position, committed)
         self._queue.append(appended)
         if self.fenced:
             # Kept for take_uncommitted: a settlement belongs in the journal that follows.
             committed.set_exception(self._fenced_error())
             return appended
         self.next_position += 1
-        self._idle.clear()
-        self._wake.set()
+        self._is_drained.clear()
+        self._has_entries.set()
         return appended
 
     @property
@@ -111,7 +111,7 @@
 
     async def flush(self) -> None:
         """Wait until every queued entry is durable or the writer is fenced."""
-        await self._idle.wait()
+        await self._is_drained.wait()
 
     def take_uncommitted(self) -> list[Entry]:
         """Remove and return the entries of a fenced writer that are not durable."""
@@ -122,27 +122,27 @@
     async def _commit_forever(self) -> None:
         """Commit whatever is queued, at most once in each interval."""
         while not self.fenced:
-            await self._wake.wait()
-            self._wake.clear()
+            await self._has_entries.wait()
+            self._has_entries.clear()
             batch = self._next_batch()
             if not batch:
-                self._idle.set()
+                self._is_drained.set()
                 continue
             await self._commit(batch)
-            self._wake.set()
+            self._has_entries.set()
             await self._clock.sleep(self._commit_interval())
 
     def _commit_interval(self) -> float:
         """Return the least time between two commits, which grows with the fleet."""
-        fair = self._members() / MAX_FLEET_COMMITS_PER_SECOND
-        return max(self._settings.min_commit_interval_seconds, fair)
+        fleet_interval = self._count_members() / MAX_FLEET_COMMITS_PER_SECOND
+        return max(self._settings.min_commit_interval_seconds, fleet_interval)
 
-    def _next_batch(self) -> list[Appended]:
+    def _next_batch(self) -> list[PendingEntry]:
         """Return the oldest entries without removing them from the queue."""
         size = min(len(self._queue), self._settings.max_batch_entries)
         return [self._queue[index] for index in range(size)]
 
-    async def _commit(self, batch: list[Appended]) -> None:
+    async def _commit(self, batch: list[PendingEntry]) -> None:
         """Write one slot, however often the service has to be asked."""
         # The same content is sent until it is known to be there or another content is: an earlier
         # try may still take effect.
@@ -154,7 +154,7 @@
         while not self.fenced:
             try:
                 if await self._write(value, name):
-                    self._finish(batch)
+                    self._complete_batch(batch)
                     return
             except KvUnavailableError:
                 await self._clock.sleep(backoff.next_seconds())
@@ -177,7 +177,7 @@
                 return False
         return True
 
-    def _finish(self, batch: list[Appended]) -> None:
+    def _complete_batch(self, batch: list[PendingEntry]) -> None:
         """Release the waiters of a durable batch."""
         self.next_slot += 1
         self.commits += 1
@@ -194,7 +194,7 @@
         for pending in self._queue:
             if not pending.committed.done():
                 pending.committed.set_exception(self._fenced_error())
-        self._idle.set()
+        self._is_drained.set()
         self._on_fenced()
 
     def _fenced_error(self) -> FencedError:
@@ -202,7 +202,7 @@
         return FencedError("the journal was closed", step=_APPEND_STEP, peer=self.incarnation)
 
 
-def _read_exception(future: asyncio.Future[None]) -> None:
+def _retrieve_exception(future: asyncio.Future[None]) -> None:
     """Mark a future's exception as retrieved."""
     if not future.cancelled():
         future.exception()
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
@@ -90,7 +90,7 @@
         match granted:
             case Success(balance):
                 return balance_reply(balance)
-            case Failure(TopUpRejected(detail=detail, unknown=True)):
+            case Failure(TopUpRejected(detail=detail, is_outcome_unknown=True)):
                 raise call_failure("outcome_unknown", detail, retry_after_seconds=RETRY_SECONDS)
             case Failure(rejected):
                 raise call_failure("operation_reused", rejected.detail)
--- a/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
@@ -27,7 +27,7 @@
 from quinceferryd.fingerprints import fingerprint
 from quinceferryd.forwards import forward
 from quinceferryd.proofs import JournalProofs
-from quinceferryd.recording import NEVER_SENT, not_ready
+from quinceferryd.recording import NEVER_SENT, router_not_ready_refusal
 from quinceferryd.refusals import HOME_RETRY_SECONDS, home_failure
 from quinceferryd.runs import RequestRun, RunStore
 
@@ -158,7 +158,7 @@
     async def _run(self, key: RequestKey, request: CallerRequest) -> AnswerStream:
         """Run a request here and return its answer."""
         if self._blackboard.state not in _ACCEPTING_STATES or self._accounts.current is None:
-            yield not_ready("submit")
+            yield router_not_ready_refusal("submit")
             return
         if self._demand is not None and request.kind is not RequestKind.SERVICE:
             self._demand.note(request.target)
--- a/packages/quinceferry-daemon/src/quinceferryd/recording.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recording.py
@@ -12,10 +12,10 @@
 from quinceferry_core.models import CallerRequest, UpstreamSpec
 from quinceferry_core.outcomes import Failed, NotRun, NotRunProof, RefusalReason, Unknown
 from quinceferryd.accounts import Account, AccountController
-from quinceferryd.billing import bill_of
+from quinceferryd.billing import compute_bill
 from quinceferryd.blackboard import Blackboard
 from quinceferryd.copy_sender import CopySender
-from quinceferryd.journal import Appended
+from quinceferryd.journal import PendingEntry
 from quinceferryd.settings import JournalSettings
 from quinceferryd.shortages import ForwardTo, ShortageHandler
 from quinceferryd.stream_results import StreamResult
@@ -33,7 +33,7 @@
     step="journal.append",
 )
 
-_NO_FURTHER_TOKENS = Failed(
+_NO_TOKENS_FOR_RETRY = Failed(
     RefusalReason.BUDGET_UNREACHABLE,
     Unknown(),
     RETRY_SECONDS,
@@ -42,7 +42,7 @@
 )
 
 
-def not_ready(step: str) -> Failed:
+def router_not_ready_refusal(step: str) -> Failed:
     """Return the refusal of a router that has no incarnation to run a request under."""
     detail = "this router is not a member of the fleet now"
     return Failed(RefusalReason.ROUTER_NOT_READY, NEVER_SENT, RETRY_SECONDS, detail, step=step)
@@ -63,7 +63,7 @@
     unrecorded: list[UnrecordedUse] = field(default_factory=list)
 
 
-class Recorder:
+class RequestRecorder:
     """Keeps budget and journal in step with the attempts of a request."""
 
     def __init__(
@@ -90,7 +90,7 @@
         :return: why the attempt must not be sent, or None.
         """
         if execution.attempts > 0:
-            failed = await self._reserve_again(execution)
+            failed = await self._reserve_for_retry(execution)
             if failed is not None:
                 return failed
         execution.attempts += 1
@@ -101,12 +101,12 @@
         try:
             return await self._commit(execution, entry)
         except FencedError:
-            return not_ready("journal.append")
+            return router_not_ready_refusal("journal.append")
 
-    def settle(self, execution: Execution) -> Appended | None:
+    def settle(self, execution: Execution) -> PendingEntry | None:
         """Charge the budget and append the bill for whatever may have run."""
         request, account = execution.request, execution.account
-        bill = bill_of(execution.result, execution.token_cap, request.max_output_tokens)
+        bill = compute_bill(execution.result, execution.token_cap, request.max_output_tokens)
         spent = bill.tokens + bill.lost
         account.allotments.settle(request.workspace, request.request_id, spent)
         ledger = account.allotments.ledger(request.workspace)
@@ -125,29 +125,29 @@
         )
         return self._accounts.settle(account, entry)
 
-    async def secure(self, settled: Appended) -> None:
+    async def wait_until_recorded(self, settled: PendingEntry) -> None:
         """Wait until a bill outlives this router: durable, or held by another router.
 
         A router that reaches neither gives up after some seconds, since its caller has the text.
         """
-        give_up_at = self._clock.monotonic() + self._settings.commit_patience_seconds
-        patience = self._patience(must_be_recorded=False)
-        while not settled.committed.done() and self._clock.monotonic() < give_up_at:
-            await asyncio.wait([settled.committed], timeout=patience)
+        deadline = self._clock.monotonic() + self._settings.commit_patience_seconds
+        wait_seconds = self._commit_wait_seconds(requires_durable_entry=False)
+        while not settled.committed.done() and self._clock.monotonic() < deadline:
+            await asyncio.wait([settled.committed], timeout=wait_seconds)
             if settled.committed.done() or await self._copies.place(settled.copy):
                 return
-            patience = self._settings.copy_after_seconds
+            wait_seconds = self._settings.copy_after_seconds
 
-    async def _reserve_again(self, execution: Execution) -> Failed | None:
+    async def _reserve_for_retry(self, execution: Execution) -> Failed | None:
         """Reserve tokens for one more attempt, since the one before may be charged as well."""
-        covered = await self._shortages.cover(
+        reservation = await self._shortages.reserve_or_find_holders(
             execution.account, execution.request, execution.token_cap
         )
-        match covered:
+        match reservation:
             case Failure(failed):
                 return failed
             case Success(ForwardTo()):
-                return _NO_FURTHER_TOKENS
+                return _NO_TOKENS_FOR_RETRY
             case _:
                 return None
 
@@ -158,12 +158,12 @@
         """
         appended = execution.account.journal.append(begin)
         committed = appended.committed
-        must_be_recorded = _must_be_recorded(execution.request)
-        await asyncio.wait([committed], timeout=self._patience(must_be_recorded))
+        requires_durable_entry = _requires_durable_entry(execution.request)
+        await asyncio.wait([committed], timeout=self._commit_wait_seconds(requires_durable_entry))
         if committed.done():
             committed.result()
             return None
-        if must_be_recorded:
+        if requires_durable_entry:
             return BILLING_UNREACHABLE
         ledger = execution.account.allotments.ledger(begin.workspace)
         use = ledger.enter_unrecorded(begin.reserved)
@@ -174,16 +174,16 @@
         is_held = await self._copies.place(appended.copy)
         return None if is_held else BILLING_UNREACHABLE
 
-    def _patience(self, must_be_recorded: bool) -> float:
+    def _commit_wait_seconds(self, requires_durable_entry: bool) -> float:
         """Return how long to wait for a commit, in seconds; not at all during an outage."""
         if not self._blackboard.kv.available:
             return 0.0
-        if must_be_recorded:
+        if requires_durable_entry:
             return self._settings.commit_patience_seconds
         return self._settings.copy_after_seconds
 
 
-def _must_be_recorded(request: CallerRequest) -> bool:
+def _requires_durable_entry(request: CallerRequest) -> bool:
     """Tell whether others take the journal's silence as proof that the request did not run."""
     if request.idempotent:
         return False
--- a/packages/quinceferry-daemon/src/quinceferryd/recovered_budgets.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovered_budgets.py
@@ -18,7 +18,7 @@
         self._kv = kv
         self._counters = counters
 
-    async def held_by(self, incarnation: IncarnationId) -> list[KvEntry]:
+    async def budgets_held_by(self, incarnation: IncarnationId) -> list[KvEntry]:
         """Return the budget records in which an incarnation has an allotment."""
         entries = await self._kv.list(BUDGET_PREFIX)
         return [
@@ -29,16 +29,16 @@
         self,
         case: RecoveryCase,
         journal: JournalState,
-        incarnation: IncarnationRecord,
+        owner: IncarnationRecord,
         entry: KvEntry,
     ) -> None:
         """Free what is proven unspent, or leave it to the next check after a conflict."""
         record = _decode(entry)
         workspace = record.workspace
-        held = record.allotments_by_incarnation[incarnation.incarnation]
-        unknown = case.unknown(journal, incarnation, workspace, held)
-        kept = case.spent(journal, workspace) + unknown
-        changed = close(record, incarnation.incarnation, kept)
+        allotment = record.allotments_by_incarnation[owner.incarnation]
+        possibly_spent = case.possibly_spent(journal, owner, workspace, allotment)
+        kept_tokens = case.known_spent(journal, workspace) + possibly_spent
+        changed = close(record, owner.incarnation, kept_tokens)
         if changed == record:
             return
         try:
@@ -51,7 +51,7 @@
         self,
         case: RecoveryCase,
         journal: JournalState,
-        incarnation: IncarnationRecord,
+        owner: IncarnationRecord,
         entry: KvEntry,
     ) -> None:
         """Replace an allotment by what was spent and what may have been spent of it.
@@ -60,10 +60,10 @@
         """
         record = _decode(entry)
         workspace = record.workspace
-        held = record.allotments_by_incarnation[incarnation.incarnation]
-        unknown = case.unknown(journal, incarnation, workspace, held)
-        spent = case.spent(journal, workspace)
-        changed = retire(record, incarnation.incarnation, spent, unknown)
+        allotment = record.allotments_by_incarnation[owner.incarnation]
+        possibly_spent = case.possibly_spent(journal, owner, workspace, allotment)
+        spent = case.known_spent(journal, workspace)
+        changed = retire(record, owner.incarnation, spent, possibly_spent)
         await self._kv.put_if(entry.key, msgspec.json.encode(changed), entry.version)
         self._counters.tokens_freed += changed.free - record.free
         self._counters.tokens_withheld += changed.withheld - record.withheld
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery.py
@@ -84,7 +84,7 @@
         for incarnation in self._cases_by_incarnation.keys() - present:
             del self._cases_by_incarnation[incarnation]
         for owner in owners - present:
-            self._accounts.write_bills(self._copies.forget(owner))
+            self._accounts.append_bills(self._copies.forget(owner))
         for entry, record in zip(entries, records, strict=True):
             others = tuple(other for other in records if other is not record)
             await self._check_one(entry, record, others)
@@ -145,7 +145,7 @@
         proof: AbsenceProof | None,
     ) -> None:
         """Close the allotments, or retire them once nobody can tell more."""
-        held = await self._budgets.held_by(record.incarnation)
+        held = await self._budgets.budgets_held_by(record.incarnation)
         if proof is None or not self._may_retire(case, journal, record, proof):
             for budget in held:
                 await self._budgets.close(case, journal, record, budget)
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery_cases.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery_cases.py
@@ -71,7 +71,7 @@
         is_durable = all(committed.done() for committed in self.commits)
         return is_durable and journal.begins_by_request.keys() <= self.settled_by_request.keys()
 
-    def spent(self, journal: JournalState, workspace: WorkspaceId) -> int:
+    def known_spent(self, journal: JournalState, workspace: WorkspaceId) -> int:
         """Return the tokens known to be spent of one workspace's allotment."""
         recovered = sum(
             entry.used + entry.lost
@@ -80,7 +80,7 @@
         )
         return journal.spent_by_workspace.get(workspace, 0) + recovered
 
-    def unknown(
+    def possibly_spent(
         self,
         journal: JournalState,
         record: IncarnationRecord,
--- a/packages/quinceferry-daemon/src/quinceferryd/retention.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/retention.py
@@ -23,12 +23,12 @@
 from quinceferry_core.models import IncarnationId
 from quinceferry_core.routing import rendezvous_order
 from quinceferryd.blackboard import Blackboard, RouterState
-from quinceferryd.compaction import MAX_BILLS
+from quinceferryd.compaction import MAX_SEGMENT_BILLS
 from quinceferryd.controllers import TaskGroupController
 from quinceferryd.settings import JournalSettings
 
 CHECK_INTERVAL_SECONDS = 600.0
-PROOF_SECONDS = 7200.0
+PROOF_RETENTION_SECONDS = 7200.0
 """How long a closed journal keeps its slots after its incarnation is retired. They prove what did
 not run to callers whose tickets name it, and tickets live for an hour."""
 
@@ -47,17 +47,17 @@
         settings: JournalSettings,
     ) -> None:
         super().__init__()
-        self.dropped_segments = 0
+        self.deleted_segments = 0
         self._blackboard = blackboard
         self._kv = kv
         self._clock = clock
         self._rng = rng
         self._settings = settings
-        self._gone_since_by_owner: dict[IncarnationId, float] = {}
+        self._record_missing_since_by_owner: dict[IncarnationId, float] = {}
 
     async def start(self) -> None:
         """Start checking at intervals."""
-        self.spawn(self._run(), _TASK_NAME)
+        self.spawn(self._check_forever(), _TASK_NAME)
 
     async def check(self) -> None:
         """Fold and drop what is due.
@@ -67,60 +67,64 @@
         slots = await self._kv.list(JOURNAL_PREFIX)
         segments = await self._kv.list(SEGMENT_PREFIX)
         # Records are read last: an owner without one then had none when its keys were written.
-        present = await self._present()
-        await self._fold_gone([entry for entry in slots if owner_of(entry.key) not in present])
-        await self._drop_old(segments, present)
+        recorded_incarnations = await self._read_incarnations()
+        await self._compact_terminated(
+            [entry for entry in slots if owner_of(entry.key) not in recorded_incarnations]
+        )
+        await self._delete_expired_segments(segments, recorded_incarnations)
 
-    async def _run(self) -> None:
+    async def _check_forever(self) -> None:
         """Check again and again while this router is the one to do it."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2))
-            if not self._is_chosen():
-                self._gone_since_by_owner.clear()
+            if not self._is_elected():
+                self._record_missing_since_by_owner.clear()
                 continue
             try:
                 await self.check()
             except KvError:
                 continue
 
-    def _is_chosen(self) -> bool:
+    def _is_elected(self) -> bool:
         """Tell whether this router is the first in the order of all."""
         is_able = self._blackboard.state is RouterState.SERVING and self._blackboard.kv.available
         order = rendezvous_order(_TASK_NAME, sorted(self._blackboard.members_by_incarnation))
         return is_able and order[:1] == [self._blackboard.identity.incarnation]
 
-    async def _present(self) -> set[IncarnationId]:
+    async def _read_incarnations(self) -> set[IncarnationId]:
         """Return the incarnations that still have a record."""
         entries = await self._kv.list(INCARNATION_PREFIX)
         records = (msgspec.json.decode(entry.value, type=IncarnationRecord) for entry in entries)
         return {record.incarnation for record in records}
 
-    async def _fold_gone(self, entries: list[KvEntry]) -> None:
+    async def _compact_terminated(self, entries: list[KvEntry]) -> None:
         """Fold the journals of incarnations whose record has been gone for long enough."""
         now = self._clock.monotonic()
         owners = {owner_of(entry.key) for entry in entries}
-        for owner in self._gone_since_by_owner.keys() - owners:
-            del self._gone_since_by_owner[owner]
+        for owner in self._record_missing_since_by_owner.keys() - owners:
+            del self._record_missing_since_by_owner[owner]
         for owner in sorted(owners):
-            gone_since = self._gone_since_by_owner.setdefault(owner, now)
-            if now - gone_since >= PROOF_SECONDS:
-                await self._fold([entry for entry in entries if owner_of(entry.key) == owner])
+            missing_since = self._record_missing_since_by_owner.setdefault(owner, now)
+            if now - missing_since >= PROOF_RETENTION_SECONDS:
+                await self._compact_journal(
+                    [entry for entry in entries if owner_of(entry.key) == owner]
+                )
 
-    async def _fold(self, entries: list[KvEntry]) -> None:
+    async def _compact_journal(self, entries: list[KvEntry]) -> None:
         """Replace all slots of one journal by segments of their bills."""
         while entries:
             bills: list[Settle] = []
-            count = 0
+            slot_count = 0
             for entry in entries:
                 slot = msgspec.json.decode(entry.value, type=Slot)
-                if bills and len(bills) + len(slot.entries) > MAX_BILLS:
+                if bills and len(bills) + len(slot.entries) > MAX_SEGMENT_BILLS:
                     break
                 bills.extend(item for item in slot.entries if isinstance(item, Settle))
-                count += 1
-            await self._replace(entries[:count], bills)
-            entries = entries[count:]
+                slot_count += 1
+            await self._replace_slots(entries[:slot_count], bills)
+            entries = entries[slot_count:]
 
-    async def _replace(self, entries: list[KvEntry], bills: list[Settle]) -> None:
+    async def _replace_slots(self, entries: list[KvEntry], bills: list[Settle]) -> None:
         """Write the bills of some slots as a segment, then delete the slots."""
         first = slot_number(entries[0].key)
         last = slot_number(entries[-1].key)
@@ -133,15 +137,17 @@
         for entry in entries:
             await self._kv.delete_if(entry.key, entry.version)
 
-    async def _drop_old(self, segments: list[KvEntry], present: set[IncarnationId]) -> None:
+    async def _delete_expired_segments(
+        self, segments: list[KvEntry], recorded_incarnations: set[IncarnationId]
+    ) -> None:
         """Delete segments past their time, but for the last of a live journal with its totals."""
-        oldest = self._clock.now() - timedelta(days=self._settings.bill_retention_days)
+        oldest_kept_at = self._clock.now() - timedelta(days=self._settings.bill_retention_days)
         last_key_by_owner = {owner_of(entry.key): entry.key for entry in segments}
         for entry in segments:
             owner = owner_of(entry.key)
-            if owner in present and last_key_by_owner[owner] == entry.key:
+            if owner in recorded_incarnations and last_key_by_owner[owner] == entry.key:
                 continue
             segment = msgspec.json.decode(entry.value, type=Segment)
-            if segment.folded_at is not None and segment.folded_at < oldest:
+            if segment.folded_at is not None and segment.folded_at < oldest_kept_at:
                 await self._kv.delete_if(entry.key, entry.version)
-                self.dropped_segments += 1
+                self.deleted_segments += 1
--- a/packages/quinceferry-daemon/src/quinceferryd/scheduling.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/scheduling.py
@@ -91,14 +91,14 @@
         :param tokens: tokens reserved for it, prompt and output together.
         :return: a permit, perhaps after waiting in the queue; else why the request was not run.
         """
-        refusal = self.shares.refusal(request, tokens) or self._target_refusal(request)
+        refusal = self.shares.check(request, tokens) or self._target_refusal(request)
         if refusal is not None:
             return self._count_refusal(request, refusal)
-        self.shares.take(request, tokens)
+        self.shares.count_admission(request, tokens)
         try:
             admitted = await self.admission.admit(request, tokens)
         except BaseException:
-            self.shares.give_back(request, tokens)
+            self.shares.revert_admission(request, tokens)
             raise
         match admitted:
             case Admitted(upstream=upstream):
@@ -106,7 +106,7 @@
                 self.counters.admitted[request.priority] += 1
                 return Success(Permit(request, tokens, self))
             case Failed() as refusal:
-                self.shares.give_back(request, tokens)
+                self.shares.revert_admission(request, tokens)
                 return self._count_refusal(request, refusal)
 
     def choose(
@@ -156,7 +156,7 @@
         )
         if reserved is not None:
             self.tracker.record_ended(request, reserved.id)
-        self.shares.leave(request)
+        self.shares.count_completion(request)
         self.admission.process_queue()
 
     async def _process_queue_forever(self) -> None:
--- a/packages/quinceferry-daemon/src/quinceferryd/shares.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shares.py
@@ -21,7 +21,7 @@
 """How often claims are recomputed; they travel with the next heartbeat."""
 CLAIM_WAIT_SECONDS = 6.0
 """Two heartbeats: how long a share takes to move here."""
-GONE_VM_SECONDS = 30.0
+VM_ABSENCE_SECONDS = 30.0
 """A lapsed router's VM counts as gone after it was absent from the VM list for this long."""
 DEMAND_HALF_LIFE_SECONDS = 20.0
 """Time in which the smoothed demand of a silent workspace halves."""
@@ -42,19 +42,19 @@
 class LimitShares:
     """Claims parts of limits and admits requests within them.
 
-    :param homes: how many routers the callers of one workspace are sent to.
+    :param home_count: how many routers the callers of one workspace are sent to.
     """
 
-    def __init__(self, blackboard: Blackboard, clock: Clock, homes: int = 3) -> None:
+    def __init__(self, blackboard: Blackboard, clock: Clock, home_count: int = 3) -> None:
         self._blackboard = blackboard
         self._clock = clock
-        self._homes = homes
+        self._home_count = home_count
         self._incarnation = blackboard.identity.incarnation
         self._shares_by_id: dict[WorkspaceId, _WorkspaceShare] = {}
         self._known_by_incarnation: dict[IncarnationId, Member] = {}
         self._absent_since: dict[IncarnationId, float] = {}
 
-    def refusal(self, request: CallerRequest, tokens: int) -> Failed | None:
+    def check(self, request: CallerRequest, tokens: int) -> Failed | None:
         """Return the refusal of a request above its workspace's limits here, or None."""
         limits = self._limits(request.workspace)
         if limits == Limits():
@@ -62,27 +62,27 @@
         share = self._share(request.workspace)
         share.demand += math.log(2) / DEMAND_HALF_LIFE_SECONDS
         if limits.concurrent_streams and share.meter.streams >= int(share.streams.in_use):
-            return _refused(RefusalReason.STREAMS_LIMITED, CLAIM_WAIT_SECONDS)
+            return _limit_refusal(RefusalReason.STREAMS_LIMITED, CLAIM_WAIT_SECONDS)
         now = self._clock.monotonic()
         wait = share.meter.rate_wait(limits, share.rate.in_use, tokens, now)
         if wait > 0:
-            return _refused(RefusalReason.RATE_LIMITED, min(wait, CLAIM_WAIT_SECONDS))
+            return _limit_refusal(RefusalReason.RATE_LIMITED, min(wait, CLAIM_WAIT_SECONDS))
         return None
 
-    def take(self, request: CallerRequest, tokens: int) -> None:
+    def count_admission(self, request: CallerRequest, tokens: int) -> None:
         """Count an admitted request."""
         limits = self._limits(request.workspace)
         if limits != Limits():
             self._share(request.workspace).meter.take(limits, tokens)
 
-    def give_back(self, request: CallerRequest, tokens: int) -> None:
+    def revert_admission(self, request: CallerRequest, tokens: int) -> None:
         """Take back the count of a request that was refused after all."""
         limits = self._limits(request.workspace)
         share = self._shares_by_id.get(request.workspace)
         if limits != Limits() and share is not None:
             share.meter.give_back(limits, tokens)
 
-    def leave(self, request: CallerRequest) -> None:
+    def count_completion(self, request: CallerRequest) -> None:
         """Count the end of an admitted request."""
         share = self._shares_by_id.get(request.workspace)
         if share is not None and share.meter.streams:
@@ -90,8 +90,8 @@
 
     def update(self) -> None:
         """Recompute claims and the parts in use; called every ``UPDATE_INTERVAL_SECONDS``."""
-        self._start_over_if_rejoined()
-        self._remember_members()
+        self._reset_if_rejoined()
+        self._update_known_members()
         claims = self._claims_by_workspace()
         for workspace, spec in self._blackboard.configuration.workspaces_by_id.items():
             if spec.limits != Limits():
@@ -102,7 +102,7 @@
         claims_here = (self._claim(workspace) for workspace in self._shares_by_id)
         self._blackboard.limit_claims = tuple(claim for claim in claims_here if not claim.is_empty)
 
-    def in_use(self, workspace: WorkspaceId) -> tuple[float, int]:
+    def usable_parts(self, workspace: WorkspaceId) -> tuple[float, int]:
         """Return the share of the rates and the streams that this router may use."""
         share = self._share(workspace)
         return share.rate.in_use, int(share.streams.in_use)
@@ -115,46 +115,52 @@
         share.demand *= 0.5 ** (UPDATE_INTERVAL_SECONDS / DEMAND_HALF_LIFE_SECONDS)
         share.meter.rate_wait(limits, share.rate.in_use, 0, self._clock.monotonic())
         others = {router: claim for router, claim in claims.items() if router != own}
-        weights = self._weights(workspace, _published(share.demand), others)
-        goes_first = all(own < router for router in others)
-        read_back = self._claim_read_back(workspace)
-        self._divide_rate(share, weights.get(own, 0.0), read_back, others, goes_first)
+        weights = self._weights(workspace, _quantize_demand(share.demand), others)
+        has_precedence = all(own < router for router in others)
+        published_claim = self._read_published_claim(workspace)
+        self._update_rate_share(
+            share, weights.get(own, 0.0), published_claim, others, has_precedence
+        )
         streams = max(
             apportion(limits.concurrent_streams, weights).get(own, 0), share.meter.streams
         )
-        self._divide_streams(share, streams, limits, read_back, others, goes_first)
+        self._update_streams_share(share, streams, limits, published_claim, others, has_precedence)
 
-    def _divide_rate(
+    def _update_rate_share(
         self,
         share: _WorkspaceShare,
         target: float,
-        read_back: LimitClaim | None,
+        published_claim: LimitClaim | None,
         others: dict[IncarnationId, LimitClaim],
-        goes_first: bool,
+        has_precedence: bool,
     ) -> None:
-        claimed = sum(claim.share for claim in others.values())
-        share.rate.confirm(read_back.share if read_back else None, claimed, 1.0)
-        share.rate.propose(target, claimed, 1.0, goes_first)
+        claimed_by_others = sum(claim.share for claim in others.values())
+        share.rate.confirm(
+            published_claim.share if published_claim else None, claimed_by_others, 1.0
+        )
+        share.rate.propose(target, claimed_by_others, 1.0, has_precedence)
 
-    def _divide_streams(
+    def _update_streams_share(
         self,
         share: _WorkspaceShare,
         target: int,
         limits: Limits,
-        read_back: LimitClaim | None,
+        published_claim: LimitClaim | None,
         others: dict[IncarnationId, LimitClaim],
-        goes_first: bool,
+        has_precedence: bool,
     ) -> None:
-        whole = limits.concurrent_streams
-        claimed = sum(claim.streams for claim in others.values())
-        share.streams.confirm(read_back.streams if read_back else None, claimed, whole)
-        share.streams.propose(target, claimed, whole, goes_first)
+        fleet_limit = limits.concurrent_streams
+        claimed_by_others = sum(claim.streams for claim in others.values())
+        share.streams.confirm(
+            published_claim.streams if published_claim else None, claimed_by_others, fleet_limit
+        )
+        share.streams.propose(target, claimed_by_others, fleet_limit, has_precedence)
 
     def _claim(self, workspace: WorkspaceId) -> LimitClaim:
         """Return what the next heartbeat claims of a workspace."""
         share = self._shares_by_id[workspace]
         streams = int(share.streams.wanted)
-        return LimitClaim(workspace, share.rate.wanted, streams, _published(share.demand))
+        return LimitClaim(workspace, share.rate.wanted, streams, _quantize_demand(share.demand))
 
     def _weights(
         self, workspace: WorkspaceId, demand: float, others: dict[IncarnationId, LimitClaim]
@@ -162,13 +168,15 @@
         """Return the share of each live router, from the demand that it published."""
         own = self._blackboard.identity.incarnation
         live = self._blackboard.members_by_incarnation
-        demands = {router: claim.demand for router, claim in others.items() if router in live}
-        demands[own] = demand
+        demand_by_router = {
+            router: claim.demand for router, claim in others.items() if router in live
+        }
+        demand_by_router[own] = demand
         # The routers that address answers name must have a share before the first request comes.
-        homes = home_members(workspace, live.values(), self._homes)
-        return demand_weights(demands, [member.incarnation for member in homes] or [own])
+        homes = home_members(workspace, live.values(), self._home_count)
+        return demand_weights(demand_by_router, [member.incarnation for member in homes] or [own])
 
-    def _start_over_if_rejoined(self) -> None:
+    def _reset_if_rejoined(self) -> None:
         """Drop all parts in use with the incarnation that claimed them; others may take them."""
         own = self._blackboard.identity.incarnation
         if own == self._incarnation:
@@ -178,17 +186,17 @@
             share.rate = ClaimedPart()
             share.streams = ClaimedPart()
 
-    def _remember_members(self) -> None:
+    def _update_known_members(self) -> None:
         """Keep the last claims of lapsed routers until their VMs are proven gone."""
         live = self._blackboard.members_by_incarnation
         self._known_by_incarnation.update(live)
         for incarnation, member in list(self._known_by_incarnation.items()):
-            if incarnation in live or not self._is_gone(member):
+            if incarnation in live or not self._is_claim_void(member):
                 continue
             del self._known_by_incarnation[incarnation]
             self._absent_since.pop(incarnation, None)
 
-    def _is_gone(self, member: Member) -> bool:
+    def _is_claim_void(self, member: Member) -> bool:
         if not member.limit_claims:
             return True
         live = self._blackboard.members_by_incarnation.values()
@@ -199,7 +207,7 @@
             return False
         now = self._clock.monotonic()
         since = self._absent_since.setdefault(member.incarnation, now)
-        return now - since >= GONE_VM_SECONDS
+        return now - since >= VM_ABSENCE_SECONDS
 
     def _claims_by_workspace(self) -> dict[WorkspaceId, dict[IncarnationId, LimitClaim]]:
         claims: dict[WorkspaceId, dict[IncarnationId, LimitClaim]] = {}
@@ -208,7 +216,7 @@
                 claims.setdefault(claim.workspace, {})[incarnation] = claim
         return claims
 
-    def _claim_read_back(self, workspace: WorkspaceId) -> LimitClaim | None:
+    def _read_published_claim(self, workspace: WorkspaceId) -> LimitClaim | None:
         """Return the own claim as read; one left out of the record counts as empty."""
         claims = self._blackboard.limit_claims_read
         if claims is None:
@@ -226,14 +234,14 @@
         return self._shares_by_id[workspace]
 
 
-def _published(demand: float) -> float:
+def _quantize_demand(demand: float) -> float:
     """Round a demand to two steps an octave, so that the heartbeat record changes rarely."""
     if demand < MIN_PUBLISHED_DEMAND:
         return 0.0
     return 2.0 ** (round(2.0 * math.log2(demand)) / 2.0)
 
 
-def _refused(reason: RefusalReason, retry_after_seconds: float) -> Failed:
+def _limit_refusal(reason: RefusalReason, retry_after_seconds: float) -> Failed:
     return Failed(
         reason,
         NotRun(NotRunProof.NEVER_SENT),
--- a/packages/quinceferry-daemon/src/quinceferryd/shortages.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shortages.py
@@ -35,18 +35,18 @@
     members: tuple[Member, ...]
 
 
-Cover = Reserved | ForwardTo
+ReserveOutcome = Reserved | ForwardTo
 
 
 @dataclass(slots=True)
-class _Recalled:
+class _RecallResult:
     """What the peers answered to a recall."""
 
     returned: int = 0
     unreachable: int = 0
 
 
-def may_move(request: CallerRequest) -> bool:
+def may_forward(request: CallerRequest) -> bool:
     """Tell whether another router may be asked to run a request that was not sent here."""
     return request.idempotent and not request.forwarded
 
@@ -71,14 +71,14 @@
         self._settings = settings
         self._locks_by_workspace: dict[WorkspaceId, asyncio.Lock] = {}
 
-    async def cover(
+    async def reserve_or_find_holders(
         self, account: Account, request: CallerRequest, tokens: int
-    ) -> Result[Cover, Failed]:
+    ) -> Result[ReserveOutcome, Failed]:
         """Reserve tokens for a request, here or at a peer.
 
         :return: where the request can run, or a truthful refusal.
         """
-        give_up_at = self._clock.monotonic() + self._settings.settle_wait_seconds
+        deadline = self._clock.monotonic() + self._settings.settle_wait_seconds
         while True:
             reserved = await account.allotments.reserve(
                 request.workspace, request.request_id, tokens
@@ -89,30 +89,30 @@
                 case BudgetUnreachable():
                     return self._forward(account, request)
                 case BudgetShortfall():
-                    recalled = await self._recall_once(account, request.workspace, tokens)
+                    recalled = await self._recall_from_peers(account, request.workspace, tokens)
                     if recalled.returned > 0:
                         continue
-            wait = give_up_at - self._clock.monotonic()
+            wait = deadline - self._clock.monotonic()
             workspace = request.workspace
             if wait <= 0 or not await account.allotments.wait_settled(workspace, wait):
-                return Failure(self._refusal(account, request, recalled))
+                return Failure(self._shortage_refusal(account, request, recalled))
 
-    async def _recall_once(
+    async def _recall_from_peers(
         self, account: Account, workspace: WorkspaceId, tokens: int
-    ) -> _Recalled:
+    ) -> _RecallResult:
         """Ask peers for unused tokens until enough have come back; one recall at a time."""
         lock = self._locks_by_workspace.setdefault(workspace, asyncio.Lock())
         async with lock:
-            recalled = _Recalled()
+            recalled = _RecallResult()
             wanted = tokens - account.allotments.ledger(workspace).available
-            for member in self.holders(account, workspace):
+            for member in self.live_holders(account, workspace):
                 if recalled.returned >= wanted:
                     break
                 await self._recall_from(member, workspace, wanted - recalled.returned, recalled)
             return recalled
 
     async def _recall_from(
-        self, member: Member, workspace: WorkspaceId, wanted: int, recalled: _Recalled
+        self, member: Member, workspace: WorkspaceId, wanted: int, recalled: _RecallResult
     ) -> None:
         """Ask one peer for unused tokens."""
         try:
@@ -122,11 +122,11 @@
             return
         recalled.returned += reply.returned
 
-    def _forward(self, account: Account, request: CallerRequest) -> Result[Cover, Failed]:
+    def _forward(self, account: Account, request: CallerRequest) -> Result[ReserveOutcome, Failed]:
         """Choose peers that may run the request while no token can move."""
-        holders = self.holders(account, request.workspace) if may_move(request) else ()
-        if holders:
-            return Success(ForwardTo(holders))
+        live_holders = self.live_holders(account, request.workspace) if may_forward(request) else ()
+        if live_holders:
+            return Success(ForwardTo(live_holders))
         return Failure(
             Failed(
                 RefusalReason.BUDGET_UNREACHABLE,
@@ -137,7 +137,7 @@
             )
         )
 
-    def holders(self, account: Account, workspace: WorkspaceId) -> tuple[Member, ...]:
+    def live_holders(self, account: Account, workspace: WorkspaceId) -> tuple[Member, ...]:
         """Return live peers that held tokens when the record was last read, most first."""
         holding = account.allotments.holdings_by_workspace.get(workspace)
         if holding is None or holding.record is None:
@@ -157,18 +157,22 @@
         live.sort(key=lambda name: (-unspent_by_incarnation[name], name))
         return tuple(members[name] for name in live)
 
-    def _refusal(self, account: Account, request: CallerRequest, recalled: _Recalled) -> Failed:
+    def _shortage_refusal(
+        self, account: Account, request: CallerRequest, recalled: _RecallResult
+    ) -> Failed:
         """Tell whether the budget is spent, in use or partly out of reach."""
         ledger = account.allotments.ledger(request.workspace)
         record = account.allotments.holdings_by_workspace[request.workspace].record
-        others = 0
+        tokens_held_by_others = 0
         if record is not None:
-            held = record.allotments_by_incarnation.get(account.incarnation)
-            others = record.outstanding - (held.drawn if held else 0)
-        if recalled.unreachable and others > 0:
+            own_allotment = record.allotments_by_incarnation.get(account.incarnation)
+            tokens_held_by_others = record.outstanding - (
+                own_allotment.drawn if own_allotment else 0
+            )
+        if recalled.unreachable and tokens_held_by_others > 0:
             reason, retry = RefusalReason.BUDGET_UNREACHABLE, UNREACHABLE_RETRY_SECONDS
             detail = "a router that holds a part of the budget cannot be reached"
-        elif ledger.reserved > 0 or others > 0:
+        elif ledger.reserved > 0 or tokens_held_by_others > 0:
             reason, retry = RefusalReason.BUDGET_SPENT, BUSY_RETRY_SECONDS
             detail = "the rest of the budget is reserved for requests in progress"
         else:
--- a/packages/quinceferry-lab/src/quinceferry_lab/budget_baseline.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/budget_baseline.py
@@ -20,7 +20,7 @@
     ) -> Result[int, ReserveError]:
         """Reserve from this router's part."""
         holding = self.holdings_by_workspace.setdefault(workspace, Holding())
-        holding.used_at = self._clock.monotonic()
+        holding.last_used_at = self._clock.monotonic()
         if holding.ledger.available < tokens:
             async with holding.lock:
                 await self._draw_part(workspace, holding)
@@ -33,10 +33,10 @@
         """Raise the allotment to an equal part of the grant, if the service answers."""
         for _ in range(ROUTERS):
             try:
-                entry, record = await self._read(workspace, holding)
+                entry, record = await self._read_record(workspace, holding)
                 missing = record.granted // ROUTERS - holding.ledger.drawn
                 if 0 < missing <= record.free:
-                    await self._write(workspace, holding, entry, record, missing)
+                    await self._write_allotment(workspace, holding, entry, record, missing)
                 return
             except KvConflictError:
                 continue
--- a/packages/quinceferry-lab/src/quinceferry_lab/capacity_model.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/capacity_model.py
@@ -12,7 +12,7 @@
     entry_bytes,
 )
 from quinceferry_lab.capacity_sizes import LIMITS, LONG_RUN, SECONDS_PER_DAY
-from quinceferryd.compaction import MAX_BILLS, MAX_FLEET_DELETES_PER_SECOND
+from quinceferryd.compaction import MAX_FLEET_DELETES_PER_SECOND, MAX_SEGMENT_BILLS
 from quinceferryd.journal import MAX_FLEET_COMMITS_PER_SECOND
 from quinceferryd.recovery import MAX_FLEET_CHECKS_PER_SECOND
 from quinceferryd.runs import ANSWER_RETENTION_SECONDS, OUTCOME_RETENTION_SECONDS
@@ -240,7 +240,7 @@
     made.add("bills_count", "bills a day, if the peak lasted", bills, "")
     size = bills * entry_bytes(made)
     made.add("bills_bytes", "their bytes", size, "bytes", "bills × bytes of an entry")
-    segments = bills / MAX_BILLS
+    segments = bills / MAX_SEGMENT_BILLS
     made.add("bills_segments", "segments a day", segments, "", "bills / bills of a segment")
 
 
--- a/packages/quinceferry-lab/src/quinceferry_lab/defects.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/defects.py
@@ -25,7 +25,7 @@
 from quinceferryd.budgets import BudgetService
 from quinceferryd.journal import JournalWriter
 from quinceferryd.runs import RunStore
-from quinceferryd.shortages import Cover, Reserved, ShortageHandler
+from quinceferryd.shortages import Reserved, ReserveOutcome, ShortageHandler
 from quinceferryd.shutdown import ShutdownController
 
 
@@ -33,12 +33,12 @@
 def no_reservation() -> Iterator[None]:
     """Dispatch requests without reserving tokens for them."""
 
-    async def cover(
+    async def reserve_or_find_holders(
         handler: ShortageHandler, account: Account, request: CallerRequest, tokens: int
-    ) -> Result[Cover, Failed]:
+    ) -> Result[ReserveOutcome, Failed]:
         return Success(Reserved())
 
-    with patch.object(ShortageHandler, "cover", cover):
+    with patch.object(ShortageHandler, "reserve_or_find_holders", reserve_or_find_holders):
         yield
 
 
