--- a/features/fixtures_configuration.py
+++ b/features/fixtures_configuration.py
@@ -31,7 +31,7 @@
 
     async def run(self, seconds):
         for router in self._fleet.routers_by_vm.values():
-            router.membership.report_listening()
+            router.membership.mark_listening()
         tasks = [asyncio.create_task(work) for work in (self._strike(), self._operate())]
         await self._check_for(seconds)
         for task in tasks:
@@ -125,7 +125,7 @@
         self._fleet.routers_by_vm[vm] = router
         self._applied_by_vm.pop(vm, None)
         await router.start()
-        router.membership.report_listening()
+        router.membership.mark_listening()
 
     async def _close(self):
         """Close an incarnation whose lease has lapsed, as a recovering router does."""
--- a/features/fixtures_limits.py
+++ b/features/fixtures_limits.py
@@ -54,14 +54,14 @@
     def see(self, member: Member) -> None:
         """Take in one record of the log."""
         if member.incarnation == self.blackboard.identity.incarnation:
-            self.blackboard.limit_claims_read = member.limit_claims
+            self.blackboard.published_limit_claims = member.limit_claims
         self.blackboard.members_by_incarnation[member.incarnation] = member
 
     def rejoin(self, name: str) -> None:
         """Take a new incarnation."""
         self.blackboard.identity.incarnation = IncarnationId(name)
         self.blackboard.identity.fencing += 1
-        self.blackboard.limit_claims_read = None
+        self.blackboard.published_limit_claims = None
         self.member = _member(name)
 
 
--- a/features/fixtures_routers.py
+++ b/features/fixtures_routers.py
@@ -145,7 +145,7 @@
         self.upstreams_by_name[name] = upstreams
         self.connections_by_name[name] = connection
         await application.start()
-        application.membership.report_listening()
+        application.membership.mark_listening()
 
     async def stop(self):
         """Stop all routers at once."""
--- a/features/steps/membership.py
+++ b/features/steps/membership.py
@@ -228,7 +228,7 @@
     """Return the incarnations that an observer takes for gone, by its VM list."""
     vms = context.fleet.routers_by_vm[observer].vms
     records = context.fleet.run(context.fleet.read_records())
-    return {record.vm for record in records if context.fleet.call(vms.is_gone, record)}
+    return {record.vm for record in records if context.fleet.call(vms.is_terminated, record)}
 
 
 @when('the VM list drops "{vm}" for {seconds:d} fleet seconds')
@@ -262,8 +262,8 @@
 
 
 @when('router "{vm}" reports that it listens and {seconds:d} fleet seconds pass')
-def report_listening(context, vm, seconds):
-    context.fleet.routers_by_vm[vm].membership.report_listening()
+def mark_listening(context, vm, seconds):
+    context.fleet.routers_by_vm[vm].membership.mark_listening()
     context.fleet.advance(seconds)
 
 
--- a/features/steps/router_faults.py
+++ b/features/steps/router_faults.py
@@ -162,7 +162,7 @@
         record = msgspec.json.decode(entry.value, type=IncarnationRecord)
         closed = replace(record, closed_by=IncarnationId("other"))
         await connection.put_if(entry.key, msgspec.json.encode(closed), entry.version)
-        holder.membership.report_fenced()
+        holder.membership.mark_fenced()
         await fleet.clock.sleep(15)
         assert holder.blackboard.identity.incarnation != name
         fleet.holder_record = closed
@@ -198,7 +198,7 @@
         dead = IncarnationRecord(DEAD, "vm", "z", 1, copy_holders=(holder.incarnation,))
         case = RecoveryCase(0.0)
         await asked.recovery._evidence.collect_copies(case, dead, (holder,))
-        assert case.knows_all(dead) and len(case.copies_by_position) == 1, case
+        assert case.has_all_copies(dead) and len(case.copies_by_position) == 1, case
 
     context.scene.play(check)
 
--- a/packages/quinceferry-daemon/src/quinceferryd/acceptance.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/acceptance.py
@@ -160,7 +160,7 @@
         return tuple(msgspec.json.decode(e.value, type=IncarnationRecord) for e in entries)
 
     def _is_absent(self, record: IncarnationRecord, records: tuple[IncarnationRecord, ...]) -> bool:
-        return absence_proof(record, records, self._vms.is_gone(record)) is not None
+        return absence_proof(record, records, self._vms.is_terminated(record)) is not None
 
     def _reason(self, record: IncarnationRecord) -> AwaitedReason:
         if record.closed_by:
--- a/packages/quinceferry-daemon/src/quinceferryd/addresses.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/addresses.py
@@ -21,7 +21,7 @@
     :param blackboard: shared state.
     :param clock: source of time.
     :param settings: lifetime of answers and number of routers for each workspace.
-    :param issue: issuer of tickets.
+    :param issue_ticket: issuer of tickets.
     :param peers: which routers were unreachable lately; None if that is not watched.
     """
 
@@ -30,13 +30,13 @@
         blackboard: Blackboard,
         clock: Clock,
         settings: AddressSettings,
-        issue: TicketIssuer,
+        issue_ticket: TicketIssuer,
         peers: PeerHealth | None = None,
     ) -> None:
         self._blackboard = blackboard
         self._clock = clock
         self._settings = settings
-        self._issue = issue
+        self._issue_ticket = issue_ticket
         self._peers = peers
         self.answers = 0
 
@@ -50,13 +50,13 @@
         """
         count = self._settings.routers_per_workspace
         homes = home_members(workspace, self._usable_members(), count)
-        named = answer_members(homes, caller_zone or self._blackboard.identity.zone, count)
+        advertised = answer_members(homes, caller_zone or self._blackboard.identity.zone, count)
         self.answers += 1
-        if not named:
+        if not advertised:
             return AddressAnswer((), self._settings.answer_ttl_seconds)
-        addresses = tuple(member.address for member in named)
-        self._note_named(addresses)
-        ticket = self._issue(workspace, named[0])
+        addresses = tuple(member.address for member in advertised)
+        self._record_advertised(addresses)
+        ticket = self._issue_ticket(workspace, advertised[0])
         return AddressAnswer(addresses, self._settings.answer_ttl_seconds, ticket)
 
     def _usable_members(self) -> list[Member]:
@@ -72,6 +72,6 @@
             return True
         return self._peers.is_reachable(member.address)
 
-    def _note_named(self, addresses: tuple[str, ...]) -> None:
+    def _record_advertised(self, addresses: tuple[str, ...]) -> None:
         if self._peers is not None:
-            self._peers.note_named(addresses)
+            self._peers.record_advertised(addresses)
--- a/packages/quinceferry-daemon/src/quinceferryd/application.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/application.py
@@ -108,7 +108,7 @@
         Its socket must listen already: the fleet takes that as the end of whichever process
         listened there before.
         """
-        self.membership.report_listening()
+        self.membership.mark_listening()
         for controller in self._controllers:
             await controller.start()
 
@@ -274,8 +274,8 @@
 
     def _attach_copies(self, account: Account) -> None:
         """Let a new incarnation place copies, and answer for those it holds."""
-        self.copies.note_own(account.incarnation)
-        self.copy_sender.attach(account.journal)
+        self.copies.add_own_incarnation(account.incarnation)
+        self.copy_sender.switch_journal(account.journal)
 
     def _issue_ticket(self, workspace: WorkspaceId, home: Member) -> str:
         """Return a ticket that names a member as the home of non-idempotent requests."""
--- a/packages/quinceferry-daemon/src/quinceferryd/blackboard.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/blackboard.py
@@ -55,14 +55,14 @@
 class UpstreamStatus:
     """What this router knows of one upstream; times are in monotonic seconds.
 
-    ``leaving`` is what the VM list says, ``told_leaving`` what other routers say.
+    ``leaving`` is what the VM list says, ``reported_leaving`` what other routers say.
     """
 
     report: LoadReport | None = None
     reported_at: float = 0.0
     leaving: bool = False
     leaving_since: float = 0.0
-    told_leaving: bool = False
+    reported_leaving: bool = False
     failures: int = 0
     failed_at: float = 0.0
 
@@ -93,7 +93,7 @@
     crash watch."""
     limit_claims: tuple[LimitClaim, ...] = ()
     """Claims for the heartbeat record; written by the limit share controller."""
-    limit_claims_read: tuple[LimitClaim, ...] | None = None
+    published_limit_claims: tuple[LimitClaim, ...] | None = None
     """Claims of this router's own heartbeat record as read from the key-value service, together
     with the records written before it; written by the membership controller."""
     kv: KvHealth = field(default_factory=KvHealth)
--- a/packages/quinceferry-daemon/src/quinceferryd/configuration.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/configuration.py
@@ -231,9 +231,9 @@
             await self.synchronize()
             for reread in self._reread_hooks:
                 await reread()
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         batch = await self._kv.watch(CONFIGURATION_PREFIX, cursor, WATCH_TIMEOUT_SECONDS)
-        waited = self._clock.monotonic() - asked_at
+        waited = self._clock.monotonic() - requested_at
         if batch.reset or waited > WATCH_TIMEOUT_SECONDS + STALE_WATCH_SECONDS:
             return -1
         for event in batch.events:
--- a/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingCopy:
     """A copy on its way to one holder."""
 
     copy: EntryCopy
@@ -35,7 +35,7 @@
 class _Outbox:
     """Copies on their way to one holder, one call at a time."""
 
-    waiting: deque[_Waiting] = field(default_factory=deque)
+    waiting: deque[_PendingCopy] = field(default_factory=deque)
     is_sending: bool = False
     has_copies: bool = False
 
@@ -61,8 +61,8 @@
         self._clock = clock
         self._journal: JournalWriter | None = None
         self._holders: tuple[IncarnationId, ...] = ()
-        self._has_tried_to_register = False
-        self._is_registered = False
+        self._registration_attempted = False
+        self._registration_confirmed = False
         self._outboxes_by_holder: dict[IncarnationId, _Outbox] = {}
         self.placed = 0
 
@@ -70,12 +70,12 @@
         """Start the loop that registers holders and releases copies."""
         self.spawn(self._maintain_forever(), "copies")
 
-    def attach(self, journal: JournalWriter) -> None:
+    def switch_journal(self, journal: JournalWriter) -> None:
         """Begin anew for the journal of another incarnation."""
         self._journal = journal
         self._holders = ()
-        self._has_tried_to_register = False
-        self._is_registered = False
+        self._registration_attempted = False
+        self._registration_confirmed = False
         self._outboxes_by_holder = {}
 
     async def place(self, copy: EntryCopy) -> bool:
@@ -85,7 +85,7 @@
             whoever closes this incarnation then does not rely on copies.
         """
         if not self._holders:
-            return not self._has_tried_to_register
+            return not self._registration_attempted
         if not self._blackboard.kv.available:
             return await self._place_at(self._holders, copy)
         # The entry is durable in seconds, so one holder is enough unless it fails.
@@ -112,7 +112,7 @@
         """Put a copy on its way to one holder."""
         held: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         outbox = self._outboxes_by_holder.setdefault(holder, _Outbox())
-        outbox.waiting.append(_Waiting(copy, held))
+        outbox.waiting.append(_PendingCopy(copy, held))
         if not outbox.is_sending:
             outbox.is_sending = True
             self.spawn(self._send_all(holder, outbox), f"copies to {holder}")
@@ -158,10 +158,10 @@
             if journal is None or not is_serving or not self._blackboard.kv.available:
                 continue
             if journal.is_flushed:
-                await self._release()
+                await self._announce_durable()
                 await self._register(journal)
 
-    async def _release(self) -> None:
+    async def _announce_durable(self) -> None:
         """Tell holders that the entries they hold copies of are durable."""
         for holder, outbox in list(self._outboxes_by_holder.items()):
             if outbox.has_copies and not outbox.waiting and await self._send(holder, ()):
@@ -179,17 +179,17 @@
             if name != own.incarnation and member.state is MemberState.SERVING
         ]
         chosen = choose_holders(own, others)
-        if self._is_registered and chosen == self._holders:
+        if self._registration_confirmed and chosen == self._holders:
             return
         if not journal.is_flushed:
             return
         # Until the record is known to name the new ones, only those in all sets tried may be used.
         self._holders = tuple(name for name in self._holders if name in chosen)
-        self._has_tried_to_register = True
-        self._is_registered = False
+        self._registration_attempted = True
+        self._registration_confirmed = False
         try:
             await self._membership.update_record(copy_holders=chosen)
         except (FencedError, KvError):
             return
-        self._is_registered = True
+        self._registration_confirmed = True
         self._holders = chosen
--- a/packages/quinceferry-daemon/src/quinceferryd/copy_store.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/copy_store.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _OwnerCopies:
     """Copies of one owner; a sealed owner has been closed."""
 
     batches: list[_Batch] = field(default_factory=list)
@@ -44,11 +44,11 @@
         """Return the bills among the copies."""
         return [copy.entry for copy in self.copies() if isinstance(copy.entry, Settle)]
 
-    def drop_before(self, position: int) -> int:
+    def remove_before(self, position: int) -> int:
         """Drop batches whose entries all stand before a position; return their bytes."""
-        dropped = [batch for batch in self.batches if batch.last_position < position]
+        removed = [batch for batch in self.batches if batch.last_position < position]
         self.batches = [batch for batch in self.batches if batch.last_position >= position]
-        return sum(len(batch.encoded) for batch in dropped)
+        return sum(len(batch.encoded) for batch in removed)
 
 
 class CopyStore:
@@ -56,16 +56,16 @@
 
     def __init__(self) -> None:
         self.held_bytes = 0
-        self._held_by_owner: dict[IncarnationId, _Held] = {}
+        self._copies_by_owner: dict[IncarnationId, _OwnerCopies] = {}
         self._own_incarnations: set[IncarnationId] = set()
 
-    def note_own(self, incarnation: IncarnationId) -> None:
+    def add_own_incarnation(self, incarnation: IncarnationId) -> None:
         """Note an incarnation that this process is or has been."""
         self._own_incarnations.add(incarnation)
 
     def owners(self) -> set[IncarnationId]:
         """Return the incarnations of which anything is known here."""
-        return set(self._held_by_owner)
+        return set(self._copies_by_owner)
 
     def hold(self, request: HoldRequest) -> HoldReply:
         """Hold copies, and drop those of entries that are durable.
@@ -74,10 +74,10 @@
         """
         if request.holder not in self._own_incarnations:
             return HoldReply.NOT_HOLDER
-        held = self._held_by_owner.setdefault(request.owner, _Held())
+        held = self._copies_by_owner.setdefault(request.owner, _OwnerCopies())
         if held.is_sealed:
             return HoldReply.SEALED
-        self.held_bytes -= held.drop_before(request.durable_before)
+        self.held_bytes -= held.remove_before(request.durable_before)
         if not request.copies:
             return HoldReply.HELD
         encoded = msgspec.json.encode(request.copies)
@@ -92,20 +92,20 @@
         """Return all copies of a closed incarnation, and take no more of them."""
         if request.holder not in self._own_incarnations:
             return CollectReply(False)
-        held = self._held_by_owner.setdefault(request.owner, _Held())
+        held = self._copies_by_owner.setdefault(request.owner, _OwnerCopies())
         held.is_sealed = True
         return CollectReply(True, tuple(held.copies()))
 
     def settlements(self) -> list[Settle]:
         """Return the bills among all copies, for a router that stops to write them itself."""
-        return [bill for held in self._held_by_owner.values() for bill in held.settlements()]
+        return [bill for held in self._copies_by_owner.values() for bill in held.settlements()]
 
-    def forget(self, owner: IncarnationId) -> list[Settle]:
+    def remove_owner(self, owner: IncarnationId) -> list[Settle]:
         """Drop everything of an incarnation that has been retired.
 
         :return: the bills among its copies; whoever retired it may not have been able to ask here.
         """
-        held = self._held_by_owner.pop(owner, None)
+        held = self._copies_by_owner.pop(owner, None)
         if held is None:
             return []
         self.held_bytes -= sum(len(batch.encoded) for batch in held.batches)
--- a/packages/quinceferry-daemon/src/quinceferryd/engine_orders.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/engine_orders.py
@@ -147,12 +147,12 @@
         return True
 
     async def _read(self, spec: UpstreamSpec, state: EngineState) -> None:
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         try:
             state.report = await self._upstreams.load(spec)
         except UpstreamError:
             state.report = None
-        state.read_at = asked_at
+        state.read_at = requested_at
 
     def _record(self, spec: UpstreamSpec, state: EngineState) -> EngineRecord:
         loading = (state.loading,) if state.loading else ()
--- a/packages/quinceferry-daemon/src/quinceferryd/heartbeats.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/heartbeats.py
@@ -18,7 +18,7 @@
 from quinceferryd.members import MemberView
 
 
-class Beat(Enum):
+class LeaseRenewal(Enum):
     """What the renewal of the lease found."""
 
     RENEWED = "renewed"
@@ -59,45 +59,45 @@
         self.member = member
         self._view.set_own(member)
 
-    def change(self, **changes: Any) -> None:
+    def change_member(self, **changes: Any) -> None:
         """Change fields of the wanted record; :meth:`write` publishes them."""
-        self.set(replace(self._required(), **changes))
+        self.set(replace(self._require_member(), **changes))
 
-    async def renew(self) -> Beat:
+    async def renew(self) -> LeaseRenewal:
         """Renew the lease."""
         if not self.lease:
-            return Beat.LEASE_LOST
-        asked_at = self._clock.monotonic()
+            return LeaseRenewal.LEASE_LOST
+        requested_at = self._clock.monotonic()
         try:
             await self._kv.keep_alive(self.lease)
         except LeaseLostError:
-            return Beat.LEASE_LOST
+            return LeaseRenewal.LEASE_LOST
         except KvUnavailableError:
-            return Beat.NO_ANSWER
-        self.valid_until = asked_at + self._ttl_seconds
-        return Beat.RENEWED
+            return LeaseRenewal.NO_ANSWER
+        self.valid_until = requested_at + self._ttl_seconds
+        return LeaseRenewal.RENEWED
 
     async def bind(self) -> None:
         """Write the record under a new lease."""
         self.lease = ""
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         lease = await self._kv.grant_lease(self._ttl_seconds)
-        await self._put(lease)
+        await self._write_under_lease(lease)
         self.lease = lease
-        self.valid_until = asked_at + self._ttl_seconds
+        self.valid_until = requested_at + self._ttl_seconds
 
     async def write(self) -> None:
         """Write the record, unless it stands so already."""
         if self._written != self.member:
-            await self._put(self.lease)
+            await self._write_under_lease(self.lease)
 
-    async def end(self) -> None:
+    async def revoke_lease(self) -> None:
         """End the lease, and the record with it."""
         if self.lease:
             await self._kv.revoke_lease(self.lease)
         self.lease = ""
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drop the record of an incarnation that was closed."""
         self._view.clear_own()
         self.lease = ""
@@ -105,9 +105,9 @@
         self._version = ABSENT_VERSION
         self.member = None
 
-    async def _put(self, lease: str) -> None:
+    async def _write_under_lease(self, lease: str) -> None:
         """Write the record over whatever stands there; nobody else writes it."""
-        member = self._required()
+        member = self._require_member()
         key = member_key(member.incarnation)
         value = msgspec.json.encode(member)
         try:
@@ -119,7 +119,7 @@
         self._version = entry.version
         self._written = member
 
-    def _required(self) -> Member:
+    def _require_member(self) -> Member:
         if self.member is None:
             raise FencedError("not a member", step="heartbeat.write")
         return self.member
--- a/packages/quinceferry-daemon/src/quinceferryd/incarnations.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/incarnations.py
@@ -13,8 +13,8 @@
 from quinceferry_core.models import IncarnationId
 from quinceferryd.blackboard import Identity
 
-_MIN_SPREAD_SECONDS = 0.05
-_MAX_SPREAD_SECONDS = 3.2
+_FIRST_MAX_DELAY_SECONDS = 0.05
+_MAX_DELAY_SECONDS = 3.2
 
 
 class FencingCounter:
@@ -37,7 +37,7 @@
 
         :raises KvUnavailableError: no answer came; call again.
         """
-        spread = _MIN_SPREAD_SECONDS
+        max_delay_seconds = _FIRST_MAX_DELAY_SECONDS
         while True:
             entry = await self._kv.get(FENCING_KEY)
             drawn = int(entry.value) + 1 if entry else 1
@@ -45,8 +45,8 @@
             try:
                 await self._kv.put_if(FENCING_KEY, str(drawn).encode(), version)
             except KvConflictError:
-                await self._clock.sleep(self._rng.uniform(0.0, spread))
-                spread = min(2.0 * spread, _MAX_SPREAD_SECONDS)
+                await self._clock.sleep(self._rng.uniform(0.0, max_delay_seconds))
+                max_delay_seconds = min(2.0 * max_delay_seconds, _MAX_DELAY_SECONDS)
                 continue
             return drawn
 
@@ -87,7 +87,7 @@
         except KvConflictError:
             entry = await self._kv.get(key)
             if entry is None or entry.value != value:
-                self.forget()
+                self.clear()
                 raise
         self._version = entry.version
         return self.record
@@ -100,25 +100,25 @@
         :raises KvUnavailableError: no answer came; the same call may be repeated.
         """
         while True:
-            wanted = replace(self._required(), **changes)
-            is_known = wanted == self.record and not self._has_lost_answer
-            if is_known or await self._swap(wanted):
+            wanted = replace(self._require_record(), **changes)
+            is_unchanged = wanted == self.record and not self._has_lost_answer
+            if is_unchanged or await self._compare_and_swap(wanted):
                 return
 
-    async def touch(self) -> None:
+    async def rewrite(self) -> None:
         """Write the record unchanged, so that a close prepared before it fails.
 
         :raises FencedError: the close came first.
         """
-        while not await self._swap(self._required()):
+        while not await self._compare_and_swap(self._require_record()):
             continue
 
-    async def read(self) -> None:
+    async def reload(self) -> None:
         """Read the record again.
 
         :raises FencedError: it is closed or gone.
         """
-        key = incarnation_key(self._required().incarnation)
+        key = incarnation_key(self._require_record().incarnation)
         entry = await self._kv.get(key)
         stored = _decode(entry)
         if entry is None or stored is None or stored.closed_by:
@@ -127,29 +127,29 @@
         self.record = stored
         self._version = entry.version
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drop the record, so that the next creation draws a new number."""
         self.record = None
         self._version = ABSENT_VERSION
 
-    async def _swap(self, wanted: IncarnationRecord) -> bool:
+    async def _compare_and_swap(self, wanted: IncarnationRecord) -> bool:
         """Write the record; after a conflict read it again and return False."""
         key = incarnation_key(wanted.incarnation)
         # A write whose answer is lost may still take effect. Until another write has moved the
         # version past it, the record is not known.
-        was_lost, self._has_lost_answer = self._has_lost_answer, True
+        had_lost_answer, self._has_lost_answer = self._has_lost_answer, True
         try:
             entry = await self._kv.put_if(key, msgspec.json.encode(wanted), self._version)
         except KvConflictError:
-            await self.read()
-            self._has_lost_answer = was_lost
+            await self.reload()
+            self._has_lost_answer = had_lost_answer
             return False
         self._has_lost_answer = False
         self.record = wanted
         self._version = entry.version
         return True
 
-    def _required(self) -> IncarnationRecord:
+    def _require_record(self) -> IncarnationRecord:
         if self.record is None:
             raise FencedError("not a member", step="incarnation.update")
         return self.record
--- a/packages/quinceferry-daemon/src/quinceferryd/loads.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/loads.py
@@ -70,7 +70,7 @@
             *self._blackboard.upstreams_by_id,
             *(reported_by_members & specs_by_id.keys()),
         ):
-            self._tracker.status(upstream).told_leaving = upstream in reported_by_members
+            self._tracker.status(upstream).reported_leaving = upstream in reported_by_members
         polled = self._blackboard.upstreams_by_id.keys() & specs_by_id.keys()
         self._blackboard.leaving_upstreams = {
             upstream
--- a/packages/quinceferry-daemon/src/quinceferryd/members.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/members.py
@@ -13,10 +13,10 @@
 """How long a watch waits; a waiting watch counts as one call."""
 MIN_WATCH_INTERVAL_SECONDS = 1.0
 """Shortest time between two watches, so that a burst of changes costs one call."""
-RETRY_SECONDS = 1.0
-POLL_SECONDS = 8.0
+WATCH_RETRY_SECONDS = 1.0
+MIN_POLL_INTERVAL_SECONDS = 8.0
 """Time between two reads of all records, in case the watch is silent."""
-POLLS_PER_SECOND = 10.0
+MAX_FLEET_POLLS_PER_SECOND = 10.0
 """Polls of the whole fleet; beyond it each router polls more rarely."""
 
 
@@ -53,10 +53,10 @@
         )
         self._own: Member | None = None
         self._cursor = -1
-        self._is_cut_off = False
+        self._is_partitioned = False
         self._ttl_seconds = ttl_seconds
-        self._batches = 0
-        self.synced = False
+        self._batch_count = 0
+        self.has_read_members = False
         """Whether the records have been read at least once."""
 
     def set_own(self, member: Member) -> None:
@@ -69,7 +69,7 @@
         if self._own is not None:
             self._blackboard.members_by_incarnation.pop(self._own.incarnation, None)
         self._own = None
-        self._blackboard.limit_claims_read = None
+        self._blackboard.published_limit_claims = None
 
     async def run(self) -> None:
         """Follow the records until cancelled."""
@@ -79,15 +79,17 @@
             except KvError:
                 # A watch may have waited for long before it failed; no earlier time is sure.
                 self._absences.failed(self._clock.monotonic())
-                self._is_cut_off = True
+                self._is_partitioned = True
                 self._cursor = -1
-                await self._clock.sleep(RETRY_SECONDS)
+                await self._clock.sleep(WATCH_RETRY_SECONDS)
 
     async def poll(self) -> None:
         """Read all records again and again until cancelled."""
         while True:
             members = len(self._blackboard.members_by_incarnation)
-            await self._clock.sleep(max(POLL_SECONDS, members / POLLS_PER_SECOND))
+            await self._clock.sleep(
+                max(MIN_POLL_INTERVAL_SECONDS, members / MAX_FLEET_POLLS_PER_SECOND)
+            )
             try:
                 await self._poll_once()
             except KvError:
@@ -95,48 +97,48 @@
 
     async def _poll_once(self) -> None:
         """Read all records, unless the watch brings changes meanwhile and so is not silent."""
-        batches = self._batches
-        asked_at = self._clock.monotonic()
+        batch_count = self._batch_count
+        requested_at = self._clock.monotonic()
         entries = await self._kv.list(MEMBER_PREFIX)
-        if batches == self._batches and not self._is_cut_off:
-            self._replace_all(entries, asked_at)
+        if batch_count == self._batch_count and not self._is_partitioned:
+            self._replace_all(entries, requested_at)
 
     async def _follow_once(self) -> None:
         if self._cursor < 0:
             await self._read_all()
         batch = await self._kv.watch(MEMBER_PREFIX, self._cursor, self._watch_seconds())
         self._cursor = -1 if batch.reset else batch.cursor
-        self._batches += 1
+        self._batch_count += 1
         now = self._clock.monotonic()
         for event in batch.events:
-            self._absences.changed(event.key, event.entry, now, self._kept_until(now))
+            self._absences.changed(event.key, event.entry, now, self._grace_end(now))
             if event.entry is not None:
-                self._show(event.entry)
-        self._drop_gone()
+                self._add_member(event.entry)
+        self._remove_absent_members()
         await self._clock.sleep(MIN_WATCH_INTERVAL_SECONDS)
 
     async def _read_all(self) -> None:
         start = await self._kv.watch(MEMBER_PREFIX, -1, 0.0)
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         entries = await self._kv.list(MEMBER_PREFIX)
-        self._is_cut_off = False
-        self._batches += 1
-        self._replace_all(entries, asked_at)
+        self._is_partitioned = False
+        self._batch_count += 1
+        self._replace_all(entries, requested_at)
         self._cursor = start.cursor
-        self.synced = True
+        self.has_read_members = True
 
-    def _replace_all(self, entries: list[KvEntry], asked_at: float) -> None:
+    def _replace_all(self, entries: list[KvEntry], requested_at: float) -> None:
         """Show the members of a whole reading, and those that may only have lost their leases.
 
-        :param asked_at: when the reading began.
+        :param requested_at: when the reading began.
         """
         entries_by_key = {entry.key: entry for entry in entries}
-        self._absences.read(entries_by_key, asked_at, self._clock.monotonic())
+        self._absences.read(entries_by_key, requested_at, self._clock.monotonic())
         for entry in entries:
-            self._show(entry)
-        self._drop_gone()
+            self._add_member(entry)
+        self._remove_absent_members()
 
-    def _kept_until(self, now: float) -> float:
+    def _grace_end(self, now: float) -> float:
         """Return until when a member is kept whose record goes now.
 
         For one lease time after an outage it may have lost its lease, and be about to renew it.
@@ -144,20 +146,20 @@
         health = self._blackboard.kv
         return (health.changed_at if health.available else now) + self._ttl_seconds
 
-    def _drop_gone(self) -> None:
+    def _remove_absent_members(self) -> None:
         """Remove the members that are neither listed nor may be kept."""
-        kept = self._absences.kept(self._clock.monotonic())
+        kept_keys = self._absences.kept(self._clock.monotonic())
         for incarnation in list(self._blackboard.members_by_incarnation):
             key = f"{MEMBER_PREFIX}{incarnation}"
             is_own = self._own is not None and incarnation == self._own.incarnation
-            if not is_own and key not in kept and key not in self._absences.listed_by_id:
+            if not is_own and key not in kept_keys and key not in self._absences.listed_by_id:
                 del self._blackboard.members_by_incarnation[incarnation]
 
-    def _show(self, entry: KvEntry) -> None:
+    def _add_member(self, entry: KvEntry) -> None:
         """Take a member's record; of the own one only what the service made of it."""
         member = msgspec.json.decode(entry.value, type=Member)
         if self._own is not None and member.incarnation == self._own.incarnation:
-            self._blackboard.limit_claims_read = member.limit_claims
+            self._blackboard.published_limit_claims = member.limit_claims
             return
         self._blackboard.members_by_incarnation[member.incarnation] = member
 
@@ -166,5 +168,5 @@
         next_end = self._absences.next_end
         if next_end is None:
             return WATCH_TIMEOUT_SECONDS
-        left = max(MIN_WATCH_INTERVAL_SECONDS, next_end - self._clock.monotonic())
-        return min(WATCH_TIMEOUT_SECONDS, left)
+        remaining_seconds = max(MIN_WATCH_INTERVAL_SECONDS, next_end - self._clock.monotonic())
+        return min(WATCH_TIMEOUT_SECONDS, remaining_seconds)
--- a/packages/quinceferry-daemon/src/quinceferryd/membership.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/membership.py
@@ -15,12 +15,12 @@
 from quinceferry_core.models import IncarnationId
 from quinceferryd.blackboard import Blackboard, RouterState
 from quinceferryd.controllers import TaskGroupController
-from quinceferryd.heartbeats import Beat, OwnHeartbeat
+from quinceferryd.heartbeats import LeaseRenewal, OwnHeartbeat
 from quinceferryd.incarnations import FencingCounter, OwnIncarnation
 from quinceferryd.members import MemberView
 from quinceferryd.settings import MembershipSettings
 
-RETRY_SECONDS = 1.0
+JOIN_RETRY_SECONDS = 1.0
 """Mean pause after a failed attempt to join."""
 
 _HEARTBEAT_JITTER = 0.1
@@ -70,7 +70,7 @@
         self._heartbeat = OwnHeartbeat(kv, clock, self.view, settings.lease_ttl_seconds)
         self._join_hooks: list[JoinHook] = []
         self._is_listening = False
-        self._has_left = False
+        self._is_leaving = False
         self.on_fenced = on_fenced
         self.joins = 0
         self.leases_lost = 0
@@ -106,15 +106,15 @@
 
     async def start(self) -> None:
         """Join in the background, retrying until the key-value service answers."""
-        self.spawn(self._run(), "membership")
+        self.spawn(self._maintain_membership(), "membership")
         self.spawn(self.view.run(), "members-watch")
         self.spawn(self.view.poll(), "members-poll")
 
-    def report_listening(self) -> None:
+    def mark_listening(self) -> None:
         """Note that this process owns its listening address; recorded at the next heartbeat."""
         self._is_listening = True
 
-    def report_fenced(self) -> None:
+    def mark_fenced(self) -> None:
         """Note that a write showed this incarnation to be closed; it is left within a heartbeat."""
         self._blackboard.state = RouterState.FENCED
 
@@ -135,7 +135,7 @@
         await self._heartbeat.bind()
         for hook in self._join_hooks:
             await hook()
-        self._heartbeat.change(state=MemberState.SERVING)
+        self._heartbeat.change_member(state=MemberState.SERVING)
         await self._heartbeat.write()
         self._blackboard.state = RouterState.SERVING
         self.joins += 1
@@ -150,7 +150,7 @@
         try:
             await self._incarnation.update(**changes)
         except FencedError:
-            self.report_fenced()
+            self.mark_fenced()
             raise
 
     async def update_member(self, **changes: Any) -> None:
@@ -160,7 +160,7 @@
         """
         if self.member is None:
             return
-        self._heartbeat.change(**changes)
+        self._heartbeat.change_member(**changes)
         try:
             await self._heartbeat.write()
         except KvError:
@@ -171,14 +171,14 @@
 
         :raises KvUnavailableError: no answer came; call again.
         """
-        self._has_left = True
+        self._is_leaving = True
         if self.record is None:
             return
         try:
             await self._incarnation.update(left=True)
         except FencedError:
             return
-        await self._heartbeat.end()
+        await self._heartbeat.revoke_lease()
 
     async def heartbeat(self) -> None:
         """Renew the lease once; after its loss, find out whether this incarnation was closed.
@@ -189,44 +189,44 @@
         if self._blackboard.state is RouterState.FENCED:
             raise FencedError("incarnation is closed", step="membership.heartbeat")
         match await self._heartbeat.renew():
-            case Beat.LEASE_LOST:
+            case LeaseRenewal.LEASE_LOST:
                 self.leases_lost += 1
-                await self._take_new_lease()
-            case Beat.RENEWED:
+                await self._acquire_new_lease()
+            case LeaseRenewal.RENEWED:
                 board = self._blackboard
-                self._heartbeat.change(
+                self._heartbeat.change_member(
                     limit_claims=board.limit_claims, quarantined=board.quarantined
                 )
                 await self._heartbeat.write()
-            case Beat.NO_ANSWER:
+            case LeaseRenewal.NO_ANSWER:
                 return
         listed = self._is_vm_listed()
         await self._incarnation.update(listening=self._is_listening, vm_listed=listed)
 
-    async def _run(self) -> None:
-        while not self._has_left:
+    async def _maintain_membership(self) -> None:
+        while not self._is_leaving:
             try:
                 await self._join_until_done()
-                await self._beat_until_left()
+                await self._heartbeat_until_left()
             except FencedError:
                 await self._abandon_incarnation()
-        await self._wait_for_stop()
+        await self._idle_until_cancelled()
 
     async def _join_until_done(self) -> None:
         while True:
             try:
                 return await self.join()
             except KvError:
-                await self._clock.sleep(RETRY_SECONDS * self._rng.uniform(0.5, 1.5))
+                await self._clock.sleep(JOIN_RETRY_SECONDS * self._rng.uniform(0.5, 1.5))
 
-    async def _beat_until_left(self) -> None:
-        while not self._has_left:
+    async def _heartbeat_until_left(self) -> None:
+        while not self._is_leaving:
             spread = self._rng.uniform(1.0 - _HEARTBEAT_JITTER, 1.0 + _HEARTBEAT_JITTER)
             interval = self._settings.heartbeat_interval_seconds * spread
-            await self._publish_leaving_for(interval)
-            await self._beat()
+            await self._publish_leaving_upstreams_for(interval)
+            await self._try_heartbeat()
 
-    async def _publish_leaving_for(self, seconds: float) -> None:
+    async def _publish_leaving_upstreams_for(self, seconds: float) -> None:
         """Wait, publishing at once when an upstream begins to leave."""
         ends_at = self._clock.monotonic() + seconds
         while (remaining := ends_at - self._clock.monotonic()) > 0:
@@ -235,15 +235,15 @@
             if self.member is not None and leaving != self.member.leaving_upstreams:
                 await self.update_member(leaving_upstreams=leaving)
 
-    async def _beat(self) -> None:
-        if self._has_left:
+    async def _try_heartbeat(self) -> None:
+        if self._is_leaving:
             return
         try:
             await self.heartbeat()
         except KvError:
             return
 
-    async def _wait_for_stop(self) -> None:
+    async def _idle_until_cancelled(self) -> None:
         while True:
             await self._clock.sleep(self._settings.lease_ttl_seconds)
 
@@ -253,23 +253,23 @@
         if self.on_fenced is not None:
             await self.on_fenced(self._blackboard.identity.incarnation)
         if self.member is not None and self.member.state is MemberState.STOPPING:
-            self._has_left = True
+            self._is_leaving = True
             return
-        self._heartbeat.forget()
-        self._incarnation.forget()
+        self._heartbeat.clear()
+        self._incarnation.clear()
         self._blackboard.identity.incarnation = IncarnationId("")
         self._blackboard.state = RouterState.STARTING
 
-    async def _take_new_lease(self) -> None:
+    async def _acquire_new_lease(self) -> None:
         """Show this incarnation as alive again, unless it has been closed meanwhile.
 
         The heartbeat record is written before the incarnation record is rewritten. A closer reads
         the incarnation record first, then looks for the heartbeat record, then swaps: either it
         finds the heartbeat, or its swap fails, or ours does.
         """
-        await self._incarnation.read()
+        await self._incarnation.reload()
         await self._heartbeat.bind()
-        await self._incarnation.touch()
+        await self._incarnation.rewrite()
 
     def _is_vm_listed(self) -> bool:
         """Tell whether this router's VM was seen in the VM list, now or before."""
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_health.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_health.py
@@ -18,11 +18,11 @@
 UNREACHABLE_SECONDS = 30.0
 """How long a router counts as unreachable after its last failure."""
 FAILURES_UNTIL_UNREACHABLE = 2
-NAMED_SECONDS = 60.0
+PROBE_WINDOW_SECONDS = 60.0
 """How long a router named in an answer is probed."""
-PROBE_SECONDS = 5.0
+PROBE_INTERVAL_SECONDS = 5.0
 """Time between two probes of one router while the key-value service answers."""
-OUTAGE_PROBE_SECONDS = 1.0
+OUTAGE_PROBE_INTERVAL_SECONDS = 1.0
 """The same in an outage, when leases tell nothing."""
 
 T = TypeVar("T")
@@ -37,7 +37,7 @@
 
     failures: int = 0
     failed_at: float = 0.0
-    named_at: float = 0.0
+    advertised_at: float = 0.0
     probed_at: float = float("-inf")
 
 
@@ -51,18 +51,18 @@
         self._clock = clock
         self._records_by_address: dict[str, _PeerRecord] = {}
 
-    def note_named(self, addresses: tuple[str, ...]) -> None:
+    def record_advertised(self, addresses: tuple[str, ...]) -> None:
         """Note that callers were sent to these addresses."""
         for address in addresses:
-            self._record(address).named_at = self._clock.monotonic()
+            self._record_for(address).advertised_at = self._clock.monotonic()
 
-    def note_success(self, address: str) -> None:
+    def record_success(self, address: str) -> None:
         """Note that a router answered."""
-        self._record(address).failures = 0
+        self._record_for(address).failures = 0
 
-    def note_failure(self, address: str) -> None:
+    def record_failure(self, address: str) -> None:
         """Note that a router did not answer."""
-        record = self._record(address)
+        record = self._record_for(address)
         record.failures += 1
         record.failed_at = self._clock.monotonic()
 
@@ -75,9 +75,9 @@
 
     def next_to_probe(self) -> str | None:
         """Return the address probed longest ago among those named lately, or None."""
-        oldest = self._clock.monotonic() - NAMED_SECONDS
+        cutoff = self._clock.monotonic() - PROBE_WINDOW_SECONDS
         records = self._records_by_address
-        for address in [a for a, record in records.items() if self._is_idle(record, oldest)]:
+        for address in [a for a, record in records.items() if self._is_expired(record, cutoff)]:
             del records[address]
         if not records:
             return None
@@ -85,10 +85,10 @@
         records[address].probed_at = self._clock.monotonic()
         return address
 
-    def _is_idle(self, record: _PeerRecord, oldest: float) -> bool:
-        return record.named_at < oldest and record.failed_at < oldest
+    def _is_expired(self, record: _PeerRecord, cutoff: float) -> bool:
+        return record.advertised_at < cutoff and record.failed_at < cutoff
 
-    def _record(self, address: str) -> _PeerRecord:
+    def _record_for(self, address: str) -> _PeerRecord:
         return self._records_by_address.setdefault(address, _PeerRecord())
 
 
@@ -108,10 +108,10 @@
         try:
             async with aclosing(self._inner.forward(address, request)) as events:
                 async for event in events:
-                    self._health.note_success(address)
+                    self._health.record_success(address)
                     yield event
         except PeerUnavailableError:
-            self._health.note_failure(address)
+            self._health.record_failure(address)
             raise
 
     async def ask_outcome(
@@ -119,28 +119,28 @@
     ) -> Outcome | None:
         """Ask what became of a request."""
         call = self._inner.ask_outcome(address, workspace, request_id)
-        return await self._noted(address, call)
+        return await self._record_outcome(address, call)
 
     async def recall(self, address: str, workspace: WorkspaceId, wanted: int) -> RecallReply:
         """Ask a peer to return its unused tokens."""
-        return await self._noted(address, self._inner.recall(address, workspace, wanted))
+        return await self._record_outcome(address, self._inner.recall(address, workspace, wanted))
 
     async def hold(self, address: str, request: HoldRequest) -> HoldReply:
         """Have a peer hold copies of journal entries."""
-        return await self._noted(address, self._inner.hold(address, request))
+        return await self._record_outcome(address, self._inner.hold(address, request))
 
     async def collect(self, address: str, request: CollectRequest) -> CollectReply:
         """Read the copies that a peer holds of a closed incarnation."""
-        return await self._noted(address, self._inner.collect(address, request))
+        return await self._record_outcome(address, self._inner.collect(address, request))
 
-    async def _noted(self, address: str, call: Awaitable[T]) -> T:
+    async def _record_outcome(self, address: str, call: Awaitable[T]) -> T:
         """Await a call and note how it ends."""
         try:
             answer = await call
         except PeerUnavailableError:
-            self._health.note_failure(address)
+            self._health.record_failure(address)
             raise
-        self._health.note_success(address)
+        self._health.record_success(address)
         return answer
 
 
@@ -171,12 +171,12 @@
 
     async def start(self) -> None:
         """Start probing."""
-        self.spawn(self._run(), "peer-probe")
+        self.spawn(self._probe_forever(), "peer-probe")
 
-    async def _run(self) -> None:
+    async def _probe_forever(self) -> None:
         while True:
-            has_kv = self._blackboard.kv.available
-            interval = PROBE_SECONDS if has_kv else OUTAGE_PROBE_SECONDS
+            is_kv_available = self._blackboard.kv.available
+            interval = PROBE_INTERVAL_SECONDS if is_kv_available else OUTAGE_PROBE_INTERVAL_SECONDS
             await self._clock.sleep(interval * self._rng.uniform(0.8, 1.2))
             address = self._health.next_to_probe()
             if address is not None and address != self._blackboard.identity.address:
@@ -188,6 +188,6 @@
             await self._peers.ask_outcome(address, _PROBE_WORKSPACE, _PROBE_REQUEST)
         except PeerNotBegunError as error:
             if error.detail.startswith("status"):
-                self._health.note_success(address)
+                self._health.record_success(address)
         except PeerUnavailableError:
             return
--- a/packages/quinceferry-daemon/src/quinceferryd/proofs.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/proofs.py
@@ -60,7 +60,7 @@
             journal = await read_journal(self._kv, ticket.home)
         except KvUnavailableError:
             return Unknown()
-        is_named = key in journal.begins_by_request or key in journal.settled_requests
-        if journal.closed_by and not is_named:
+        is_recorded = key in journal.begins_by_request or key in journal.settled_requests
+        if journal.closed_by and not is_recorded:
             return NotRun(NotRunProof.JOURNAL_CLOSED_WITHOUT_IT)
         return Unknown()
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery.py
@@ -70,7 +70,7 @@
 
     async def start(self) -> None:
         """Start looking for incarnations that are gone."""
-        self.spawn(self._run(), "recovery")
+        self.spawn(self._check_forever(), "recovery")
 
     async def check(self) -> None:
         """Look at all incarnations once.
@@ -84,12 +84,12 @@
         for incarnation in self._cases_by_incarnation.keys() - present:
             del self._cases_by_incarnation[incarnation]
         for owner in owners - present:
-            self._accounts.append_bills(self._copies.forget(owner))
+            self._accounts.append_bills(self._copies.remove_owner(owner))
         for entry, record in zip(entries, records, strict=True):
             others = tuple(other for other in records if other is not record)
             await self._check_one(entry, record, others)
 
-    async def _run(self) -> None:
+    async def _check_forever(self) -> None:
         """Look again and again, while this router serves and the service answers."""
         while True:
             await self._clock.sleep(self._check_interval() * self._rng.uniform(0.8, 1.2))
@@ -119,9 +119,9 @@
             return
         now = self._clock.monotonic()
         case = self._cases_by_incarnation.setdefault(incarnation, RecoveryCase(now))
-        vm_gone = self._vms.is_gone(record)
+        is_vm_terminated = self._vms.is_terminated(record)
         account = self._accounts.current
-        if now - case.absent_since < self._patience(incarnation) or account is None:
+        if now - case.absent_since < self._required_absence_seconds(incarnation) or account is None:
             return
         if not record.closed_by:
             await self._evidence.close_record(entry, record)
@@ -130,9 +130,9 @@
         if case.closed_at is None:
             case.closed_at = now
         await self._evidence.collect_copies(case, record, others)
-        case.complete(journal, incarnation, account)
-        proof = absence_proof(record, others, vm_gone)
-        if proof is not None or not await self._evidence.answers(record):
+        case.apply_copies(journal, incarnation, account)
+        proof = absence_proof(record, others, is_vm_terminated)
+        if proof is not None or not await self._evidence.is_process_reachable(record):
             await self._evidence.settle_requests(case, journal, incarnation, account)
         await self._free_tokens(case, journal, entry, record, proof)
 
@@ -145,18 +145,18 @@
         proof: AbsenceProof | None,
     ) -> None:
         """Close the allotments, or retire them once nobody can tell more."""
-        held = await self._budgets.budgets_held_by(record.incarnation)
-        if proof is None or not self._may_retire(case, journal, record, proof):
-            for budget in held:
+        allotment_entries = await self._budgets.budgets_held_by(record.incarnation)
+        if proof is None or not self._can_retire(case, journal, record, proof):
+            for budget in allotment_entries:
                 await self._budgets.close(case, journal, record, budget)
             return
-        for budget in held:
+        for budget in allotment_entries:
             await self._budgets.retire(case, journal, record, budget)
         await self._kv.delete_if(entry.key, entry.version)
-        self._vms.forget(record)
+        self._vms.remove_observations(record)
         self.counters.retired += 1
 
-    def _patience(self, incarnation: IncarnationId) -> float:
+    def _required_absence_seconds(self, incarnation: IncarnationId) -> float:
         """Return how long an incarnation must be absent, in seconds; routers act in turn."""
         members = sorted(self._blackboard.members_by_incarnation)
         own = self._blackboard.identity.incarnation
@@ -164,7 +164,7 @@
         rank = order.index(own) if own in order else len(order)
         return self._settings.absence_seconds + rank * self._settings.turn_seconds
 
-    def _may_retire(
+    def _can_retire(
         self,
         case: RecoveryCase,
         journal: JournalState,
@@ -178,8 +178,8 @@
         """
         if any(not committed.done() for committed in case.commits):
             return False
-        is_known = case.is_settled(journal) and case.knows_all(record)
-        if proof is AbsenceProof.VM_GONE and is_known:
+        is_fully_accounted = case.is_fully_settled(journal) and case.has_all_copies(record)
+        if proof is AbsenceProof.VM_GONE and is_fully_accounted:
             return True
         now = self._clock.monotonic()
         closed_at = case.closed_at if case.closed_at is not None else now
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery_cases.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery_cases.py
@@ -27,8 +27,9 @@
 class RecoveryCase:
     """One incarnation under recovery; times are in monotonic seconds.
 
-    ``answered`` are the holders whose copies are known, ``adopted`` the positions of bills taken
-    over from copies, ``commits`` the futures of bills that this router has written for it.
+    ``answered_holders`` are the holders whose copies are known, ``adopted_positions`` the positions
+    of bills taken over from copies, ``commits`` the futures of bills that this router has written
+    for it.
     """
 
     absent_since: float
@@ -36,37 +37,37 @@
     settled_by_request: dict[RequestKey, Settle] = field(default_factory=dict)
     commits: list[asyncio.Future[None]] = field(default_factory=list)
     copies_by_position: dict[int, EntryCopy] = field(default_factory=dict)
-    answered: set[IncarnationId] = field(default_factory=set)
-    adopted: set[int] = field(default_factory=set)
+    answered_holders: set[IncarnationId] = field(default_factory=set)
+    adopted_positions: set[int] = field(default_factory=set)
 
     def add_copies(self, holder: IncarnationId, copies: tuple[EntryCopy, ...]) -> None:
         """Take over the answer of one holder."""
-        self.answered.add(holder)
+        self.answered_holders.add(holder)
         self.copies_by_position.update((copy.position, copy) for copy in copies)
 
-    def knows_all(self, record: IncarnationRecord) -> bool:
+    def has_all_copies(self, record: IncarnationRecord) -> bool:
         """Tell whether everything the incarnation sent is in its journal or in known copies."""
-        return bool(record.copy_holders) and self.answered.issuperset(record.copy_holders)
+        return bool(record.copy_holders) and self.answered_holders.issuperset(record.copy_holders)
 
-    def complete(self, journal: JournalState, owner: IncarnationId, account: Account) -> None:
+    def apply_copies(self, journal: JournalState, owner: IncarnationId, account: Account) -> None:
         """Continue a closed journal with the copies, and write their bills to an open journal."""
         for position in sorted(self.copies_by_position):
             entry = self.copies_by_position[position].entry
             is_new = journal.apply(position, entry, owner)
-            if is_new and isinstance(entry, Settle) and position not in self.adopted:
-                self.adopted.add(position)
+            if is_new and isinstance(entry, Settle) and position not in self.adopted_positions:
+                self.adopted_positions.add(position)
                 committed = account.journal.append(entry).committed
                 self.commits.append(committed)
-                committed.add_done_callback(partial(self._forget_adopted, position))
+                committed.add_done_callback(partial(self._discard_failed_adoption, position))
 
     def settle(self, key: RequestKey, entry: Settle, account: Account) -> None:
         """Write the bill of a request that the incarnation left open."""
         self.settled_by_request[key] = entry
         committed = account.journal.append(entry).committed
         self.commits.append(committed)
-        committed.add_done_callback(partial(self._forget_settled, key))
+        committed.add_done_callback(partial(self._discard_failed_settlement, key))
 
-    def is_settled(self, journal: JournalState) -> bool:
+    def is_fully_settled(self, journal: JournalState) -> bool:
         """Tell whether every request is settled and every bill durable."""
         is_durable = all(committed.done() for committed in self.commits)
         return is_durable and journal.begins_by_request.keys() <= self.settled_by_request.keys()
@@ -94,14 +95,14 @@
             if key.workspace == workspace and key not in self.settled_by_request
             for begin in begins
         )
-        return unsettled if self.knows_all(record) else unsettled + allotment.outage_tokens
+        return unsettled if self.has_all_copies(record) else unsettled + allotment.outage_tokens
 
-    def _forget_settled(self, key: RequestKey, committed: asyncio.Future[None]) -> None:
+    def _discard_failed_settlement(self, key: RequestKey, committed: asyncio.Future[None]) -> None:
         """Have a request settled again whose bill did not become durable."""
         if committed.cancelled() or committed.exception() is not None:
             self.settled_by_request.pop(key, None)
 
-    def _forget_adopted(self, position: int, committed: asyncio.Future[None]) -> None:
+    def _discard_failed_adoption(self, position: int, committed: asyncio.Future[None]) -> None:
         """Have a bill written again that did not become durable."""
         if committed.cancelled() or committed.exception() is not None:
-            self.adopted.discard(position)
+            self.adopted_positions.discard(position)
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery_evidence.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery_evidence.py
@@ -96,16 +96,16 @@
         """
         address_by_incarnation = {other.incarnation: other.address for other in others}
         for holder in record.copy_holders:
-            if holder in case.answered:
+            if holder in case.answered_holders:
                 continue
             request = CollectRequest(holder, record.incarnation)
             reply = self._copies.collect(request)
             if not reply.is_holder:
-                reply = await self._ask(address_by_incarnation.get(holder, ""), request)
+                reply = await self._request_copies(address_by_incarnation.get(holder, ""), request)
             if reply.is_holder:
                 case.add_copies(holder, reply.copies)
 
-    async def _ask(self, address: str, request: CollectRequest) -> CollectReply:
+    async def _request_copies(self, address: str, request: CollectRequest) -> CollectReply:
         """Ask whichever router lives at an address for its copies."""
         if not address:
             return CollectReply(False)
@@ -128,23 +128,23 @@
         for key, begins in journal.begins_by_request.items():
             if key in case.settled_by_request:
                 continue
-            uses = [await self._stop_attempt(incarnation, begin) for begin in begins]
-            known = [tokens for tokens in uses if tokens is not None]
-            if len(known) < len(uses):
+            uses = [await self._cancel_attempt(incarnation, begin) for begin in begins]
+            known_uses = [tokens for tokens in uses if tokens is not None]
+            if len(known_uses) < len(uses):
                 continue
             entry = Settle(
                 key.workspace,
                 key.request,
-                known[-1],
-                run=any(known),
+                known_uses[-1],
+                run=any(known_uses),
                 origin=incarnation,
                 partial=True,
-                lost=sum(known[:-1]),
+                lost=sum(known_uses[:-1]),
             )
             case.settle(key, entry, account)
             self._counters.requests_settled += 1
 
-    async def _stop_attempt(self, incarnation: IncarnationId, begin: Begin) -> int | None:
+    async def _cancel_attempt(self, incarnation: IncarnationId, begin: Begin) -> int | None:
         """Stop one attempt at its upstream; return its use, or None if nobody can tell."""
         upstream = self._blackboard.configuration.upstreams_by_id.get(begin.upstream)
         if upstream is None:
@@ -156,7 +156,7 @@
         except UpstreamError:
             return None
 
-    async def answers(self, record: IncarnationRecord) -> bool:
+    async def is_process_reachable(self, record: IncarnationRecord) -> bool:
         """Tell whether the process still answers, so that its callers may have open streams.
 
         It may only be cut off from the key-value service. Its runs are then left alone; what it
--- a/packages/quinceferry-daemon/src/quinceferryd/shares.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shares.py
@@ -218,7 +218,7 @@
 
     def _read_published_claim(self, workspace: WorkspaceId) -> LimitClaim | None:
         """Return the own claim as read; one left out of the record counts as empty."""
-        claims = self._blackboard.limit_claims_read
+        claims = self._blackboard.published_limit_claims
         if claims is None:
             return None
         empty = LimitClaim(workspace)
--- a/packages/quinceferry-daemon/src/quinceferryd/signatures.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/signatures.py
@@ -15,7 +15,7 @@
 """Greatest difference between the caller's wall clock and ours."""
 
 _NONCE_BYTES = 8
-_PARTS = 4
+_PART_COUNT = 4
 
 
 class Signer:
@@ -42,7 +42,7 @@
             signed this call within the allowed skew.
         """
         parts = value.split(".")
-        if len(parts) != _PARTS or not value.isascii() or not parts[0].isdigit():
+        if len(parts) != _PART_COUNT or not value.isascii() or not parts[0].isdigit():
             return ""
         signed, _, mac = value.rpartition(".")
         if not hmac.compare_digest(self._mac(method, path, signed), mac):
@@ -52,8 +52,8 @@
 
     def _mac(self, method: str, path: str, signed: str) -> str:
         """Return the HMAC of a call."""
-        text = f"{method}\n{path}\n{signed}".encode()
-        return hmac.digest(self._secret, text, "sha256").hex()
+        message = f"{method}\n{path}\n{signed}".encode()
+        return hmac.digest(self._secret, message, "sha256").hex()
 
 
 def body_digest(body: bytes) -> str:
--- a/packages/quinceferry-daemon/src/quinceferryd/tracking.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/tracking.py
@@ -235,7 +235,7 @@
         """Return whether an upstream has not reported for long and nothing is to be remembered."""
         last_seen_at = max(status.reported_at, status.failed_at)
         is_expired = self._clock.monotonic() - last_seen_at > RETENTION_SECONDS
-        return is_expired and not status.leaving and not status.told_leaving
+        return is_expired and not status.leaving and not status.reported_leaving
 
     def _max_backlog_tokens(self) -> float:
         """Return this router's part of the prompt tokens that may wait at one engine."""
--- a/packages/quinceferry-daemon/src/quinceferryd/upstream_views.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/upstream_views.py
@@ -104,7 +104,7 @@
 
     def is_leaving(self, spec: UpstreamSpec) -> bool:
         """Return whether any sign says that an upstream is leaving."""
-        return self.status(spec.id).told_leaving or self.is_observed_leaving(spec)
+        return self.status(spec.id).reported_leaving or self.is_observed_leaving(spec)
 
     def is_observed_leaving(self, spec: UpstreamSpec) -> bool:
         """Return whether the VM list or the upstream itself says so, not another router."""
--- a/packages/quinceferry-daemon/src/quinceferryd/vms.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/vms.py
@@ -55,18 +55,18 @@
 
     async def poll(self) -> bool:
         """Read the list once; return whether an answer came."""
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         try:
             records = await self._vm_list.list()
         except PlatformUnavailableError:
             self.failures += 1
             return False
         self._blackboard.vms_by_id = {record.vm: record for record in records}
-        self._track_absences(asked_at)
+        self._track_absences(requested_at)
         self._mark_leaving_upstreams()
         return True
 
-    def is_gone(self, record: IncarnationRecord) -> bool:
+    def is_terminated(self, record: IncarnationRecord) -> bool:
         """Tell whether the readings so far prove that an incarnation's VM has ended.
 
         The first call for an incarnation only starts the observation, so that callers ask again.
@@ -81,7 +81,7 @@
         absence = self._absences_by_vm.get(record.vm)
         return vm_is_gone(record, seen_at, absence, self._max_lag_seconds)
 
-    def forget(self, record: IncarnationRecord) -> None:
+    def remove_observations(self, record: IncarnationRecord) -> None:
         """Drop the observations of an incarnation whose record has been deleted."""
         self._listed_seen_at_by_incarnation.pop(record.incarnation, None)
         self._tracked_vms.discard(record.vm)
--- a/packages/quinceferry-lab/src/quinceferry_lab/budget_bench.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/budget_bench.py
@@ -139,7 +139,7 @@
         application.accounts.allotments_type = self.allotments_type
         self.applications_by_name[name] = application
         await application.start()
-        application.membership.report_listening()
+        application.membership.mark_listening()
 
 
 class BenchPeers:
--- a/packages/quinceferry-lab/src/quinceferry_lab/capacity_memory.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/capacity_memory.py
@@ -150,7 +150,7 @@
     """Hold copies of other routers' entries, which come in batches."""
     store = CopyStore()
     holder = IncarnationId("vm-1")
-    store.note_own(holder)
+    store.add_own_incarnation(holder)
     for first in range(0, count, COPIES_IN_CALL):
         copies = tuple(EntryCopy(n, _entry(n)) for n in range(first, first + COPIES_IN_CALL))
         store.hold(HoldRequest(holder, IncarnationId("vm-2"), copies))
--- a/packages/quinceferry-lab/src/quinceferry_lab/capacity_router.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/capacity_router.py
@@ -5,7 +5,7 @@
 from quinceferry_lab.capacity_figures import Derivation
 from quinceferry_lab.capacity_sizes import LIMITS, LONG_RUN
 from quinceferryd.journal import MAX_FLEET_COMMITS_PER_SECOND
-from quinceferryd.members import POLL_SECONDS, POLLS_PER_SECOND
+from quinceferryd.members import MAX_FLEET_POLLS_PER_SECOND, MIN_POLL_INTERVAL_SECONDS
 from quinceferryd.recovery import MAX_FLEET_CHECKS_PER_SECOND
 from quinceferryd.runs import ANSWER_RETENTION_SECONDS, OUTCOME_RETENTION_SECONDS
 from quinceferryd.settings import RoutingSettings
@@ -176,4 +176,4 @@
 
 def _poll_rate(routers: int) -> float:
     """Return how often a router polls the member records, in calls a second."""
-    return 1 / max(POLL_SECONDS, routers / POLLS_PER_SECOND)
+    return 1 / max(MIN_POLL_INTERVAL_SECONDS, routers / MAX_FLEET_POLLS_PER_SECOND)
