--- a/features/fixtures_configuration.py
+++ b/features/fixtures_configuration.py
@@ -10,7 +10,7 @@
 from quinceferry_core.membership import member_key
 from quinceferry_core.models import WorkspaceSpec
 from quinceferryd.blackboard import RouterState
-from quinceferryd.configuration_log import FLEET_KEY, FleetConfiguration
+from quinceferryd.configuration_log import LOG_STATE_KEY, LogState
 
 CHECK_SECONDS = 0.05
 HEAL_SECONDS = 180.0
@@ -54,9 +54,9 @@
     def _check(self):
         """Compare all routers with the accepted revision, read past every fault."""
         now = self._fleet.clock.monotonic()
-        stored = self._fleet.kv._service.state.get(now, FLEET_KEY)
-        fleet = msgspec.json.decode(stored.value, type=FleetConfiguration) if stored else None
-        accepted = fleet.accepted if fleet else 0
+        stored = self._fleet.kv._service.state.get(now, LOG_STATE_KEY)
+        log_state = msgspec.json.decode(stored.value, type=LogState) if stored else None
+        accepted = log_state.accepted if log_state else 0
         if accepted < self.accepted_seen:
             self.reverted.append(("fleet", self.accepted_seen, accepted))
         self.accepted_seen = max(self.accepted_seen, accepted)
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -219,7 +219,7 @@
         n for n, specs in shards.engines_by_shard().items() if any(s.id == upstream for s in specs)
     )
     shard = shards.held_by_name[name]
-    assert context.fleet.call(shards.may_send, shard)
+    assert context.fleet.call(shards.can_send, shard)
     context.late_order = EngineOrder(kind, model, shard.fencing, shard.next_sequence(), role)
     holder.connections.delays[kind] = seconds
     spec = holder.blackboard.configuration.upstreams_by_id[upstream]
--- a/packages/quinceferry-daemon/src/quinceferryd/acceptance.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/acceptance.py
@@ -19,16 +19,16 @@
 )
 from quinceferryd.blackboard import Blackboard
 from quinceferryd.configuration_log import (
-    SNAPSHOT_INTERVAL,
+    SNAPSHOT_INTERVAL_REVISIONS,
     ConfigurationLog,
-    FleetConfiguration,
+    LogState,
 )
 from quinceferryd.controllers import TaskGroupController
 from quinceferryd.vms import VmListController
 
-ACCEPT_SECONDS = 0.5
+ACCEPT_INTERVAL_SECONDS = 0.5
 """Time between two attempts to accept what was proposed."""
-MAX_ACCEPT_SECONDS = 5.0
+MAX_ACCEPT_INTERVAL_SECONDS = 5.0
 """The same while a router that does not answer is awaited."""
 
 
@@ -74,11 +74,11 @@
         """Start accepting."""
         self.spawn(self._accept_forever(), "configuration-accept")
 
-    def note(self, fleet: FleetConfiguration) -> None:
+    def update_accepted(self, log_state: LogState) -> None:
         """Take over what the fleet has agreed on; neither revision ever falls."""
-        accepted = max(self._blackboard.accepted_revision, fleet.accepted)
+        accepted = max(self._blackboard.accepted_revision, log_state.accepted)
         self._blackboard.accepted_revision = accepted
-        self._snapshot_revision = max(self._snapshot_revision, fleet.snapshot.revision)
+        self._snapshot_revision = max(self._snapshot_revision, log_state.snapshot.revision)
 
     def is_acceptor(self) -> bool:
         """Tell whether this router is the one that marks revisions accepted.
@@ -90,29 +90,31 @@
         fencings = [m.fencing for m in members if m.state is MemberState.SERVING]
         return bool(fencings) and min(fencings) == self._blackboard.identity.fencing
 
-    async def advance(self) -> None:
+    async def accept_confirmed(self) -> None:
         """Accept every revision that no router is awaited for."""
         proposed = self._blackboard.configuration.revision
         records = await self._read_records()
-        confirmed = [r.applied_revision for r in records if not self._is_absent(r, records)]
-        self.note(await self._log.mark_accepted(min([proposed, *confirmed])))
+        confirmed_revisions = [
+            r.applied_revision for r in records if not self._is_absent(r, records)
+        ]
+        self.update_accepted(await self._log.mark_accepted(min([proposed, *confirmed_revisions])))
         for record in records:
-            if record.applied_revision < proposed and self._is_attestable(record):
-                await self._attest(record)
+            if record.applied_revision < proposed and self._should_record_vm_listed(record):
+                await self._record_vm_listed(record)
 
-    async def awaited(self, revision: int) -> tuple[AwaitedRouter, ...]:
+    async def awaited_routers(self, revision: int) -> tuple[AwaitedRouter, ...]:
         """Return the routers that may still serve a revision older than the given one."""
         records = await self._read_records()
         return tuple(
             AwaitedRouter(
-                record.incarnation, record.vm, self._reason(record), record.applied_revision
+                record.incarnation, record.vm, self._awaited_reason(record), record.applied_revision
             )
             for record in records
             if record.applied_revision < revision and not self._is_absent(record, records)
         )
 
     async def _accept_forever(self) -> None:
-        interval = ACCEPT_SECONDS
+        interval = ACCEPT_INTERVAL_SECONDS
         while True:
             await self._clock.sleep(interval * self._rng.uniform(0.8, 1.2))
             before = self._blackboard.accepted_revision
@@ -120,29 +122,33 @@
                 await self._accept()
             except KvError:
                 continue
-            has_moved = self._blackboard.accepted_revision > before
-            slower = min(interval * 1.5, MAX_ACCEPT_SECONDS)
-            interval = slower if self._is_pending() and not has_moved else ACCEPT_SECONDS
+            has_advanced = self._blackboard.accepted_revision > before
+            longer_interval = min(interval * 1.5, MAX_ACCEPT_INTERVAL_SECONDS)
+            interval = (
+                longer_interval
+                if self._is_pending() and not has_advanced
+                else ACCEPT_INTERVAL_SECONDS
+            )
 
     async def _accept(self) -> None:
         if not self.is_acceptor():
             return
         if self._is_pending():
-            await self.advance()
+            await self.accept_confirmed()
         accepted = self._blackboard.accepted_revision
-        if accepted - self._snapshot_revision >= SNAPSHOT_INTERVAL:
+        if accepted - self._snapshot_revision >= SNAPSHOT_INTERVAL_REVISIONS:
             self.snapshots_written += await self._log.compact(self._newest_state())
-            self.note(await self._log.read_fleet())
+            self.update_accepted(await self._log.read_log_state())
 
     def _is_pending(self) -> bool:
         return self._blackboard.accepted_revision < self._newest_state().revision
 
-    def _is_attestable(self, record: IncarnationRecord) -> bool:
+    def _should_record_vm_listed(self, record: IncarnationRecord) -> bool:
         """Tell whether the VM list shows the VM of a router that died before it noted that."""
         is_live = record.incarnation in self._blackboard.members_by_incarnation
         return not is_live and not record.vm_listed and record.vm in self._blackboard.vms_by_id
 
-    async def _attest(self, record: IncarnationRecord) -> None:
+    async def _record_vm_listed(self, record: IncarnationRecord) -> None:
         """Record for another router that the VM list has shown its VM."""
         key = incarnation_key(record.incarnation)
         stored = await self._kv.get(key)
@@ -162,7 +168,7 @@
     def _is_absent(self, record: IncarnationRecord, records: tuple[IncarnationRecord, ...]) -> bool:
         return absence_proof(record, records, self._vms.is_terminated(record)) is not None
 
-    def _reason(self, record: IncarnationRecord) -> AwaitedReason:
+    def _awaited_reason(self, record: IncarnationRecord) -> AwaitedReason:
         if record.closed_by:
             return AwaitedReason.CLOSED_NOT_PROVEN_GONE
         if record.incarnation not in self._blackboard.members_by_incarnation:
--- a/packages/quinceferry-daemon/src/quinceferryd/configuration.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/configuration.py
@@ -23,11 +23,11 @@
 from quinceferryd.blackboard import Blackboard
 from quinceferryd.configuration_log import (
     CONFIGURATION_PREFIX,
-    FLEET_KEY,
     LOG_PREFIX,
+    LOG_STATE_KEY,
     ConfigurationLog,
     decode_entry,
-    decode_fleet,
+    decode_log_state,
 )
 from quinceferryd.controllers import TaskGroupController
 from quinceferryd.membership import MembershipController
@@ -36,22 +36,22 @@
 WATCH_TIMEOUT_SECONDS = 60.0
 MIN_WATCH_INTERVAL_SECONDS = 0.2
 """Shortest time between two watches, so that a burst of changes costs one call."""
-STALE_WATCH_SECONDS = 10.0
+MAX_WATCH_DELAY_SECONDS = 10.0
 """Delay of a watch's answer beyond its timeout after which its events are not trusted."""
-POLL_SECONDS = 4.0
+MIN_POLL_INTERVAL_SECONDS = 4.0
 """Time between two reads of the end of the log, in case the watch is silent."""
-FULL_POLL_PERIOD = 4
+POLLS_PER_FULL_POLL = 4
 """One in this many polls also notices that the log was compacted."""
-POLLS_PER_SECOND = 40.0
+MAX_FLEET_POLLS_PER_SECOND = 40.0
 """Polls of the whole fleet; beyond it each router polls more rarely."""
-CONFIRMATIONS_PER_SECOND = 200.0
+MAX_FLEET_CONFIRMATIONS_PER_SECOND = 200.0
 """Rate at which the whole fleet confirms one revision."""
-RETRY_SECONDS = 1.0
+WATCH_RETRY_SECONDS = 1.0
 MAX_APPEND_ATTEMPTS = 3
 
 KeyHook = Callable[[str, KvEntry | None], Awaitable[None]]
 """Called with each change of a key below ``config/`` that is not part of the log."""
-RereadHook = Callable[[], Awaitable[None]]
+ResyncHook = Callable[[], Awaitable[None]]
 """Called when changes of such keys may have been missed."""
 
 
@@ -92,13 +92,13 @@
         self._lock = asyncio.Lock()
         self._changed = asyncio.Event()
         self._key_hooks: list[KeyHook] = []
-        self._reread_hooks: list[RereadHook] = []
+        self._resync_hooks: list[ResyncHook] = []
         membership.add_join_hook(self.catch_up)
 
-    def add_key_hook(self, hook: KeyHook, reread: RereadHook) -> None:
+    def add_key_hook(self, hook: KeyHook, resync: ResyncHook) -> None:
         """Have functions called with changes of other keys below ``config/``, and after a gap."""
         self._key_hooks.append(hook)
-        self._reread_hooks.append(reread)
+        self._resync_hooks.append(resync)
 
     async def start(self) -> None:
         """Start following the log, confirming and, where it falls to this router, accepting."""
@@ -124,9 +124,9 @@
     async def synchronize(self) -> None:
         """Apply everything up to the end of the log."""
         async with self._lock:
-            self._state, fleet = await self._log.catch_up(self._state)
+            self._state, log_state = await self._log.catch_up(self._state)
             self._publish()
-        self._acceptance.note(fleet)
+        self._acceptance.update_accepted(log_state)
 
     async def propose(
         self,
@@ -149,7 +149,7 @@
             await self.synchronize()
             earlier = self._state.earlier_answer(operation_id, fingerprint)
             if earlier is not None:
-                return await self._answer(earlier)
+                return await self._repeat_answer(earlier)
             checked = self._check(change, expected_revision)
             if isinstance(checked, Failure):
                 return checked
@@ -164,11 +164,11 @@
     async def status(self, revision: int) -> ChangeStatus:
         """Return whether a revision is accepted, and which routers are awaited if not."""
         if self._blackboard.accepted_revision < revision:
-            await self._acceptance.advance()
+            await self._acceptance.accept_confirmed()
         if self._blackboard.accepted_revision >= revision:
             return ChangeStatus(revision, ChangeState.ACCEPTED)
-        awaited = await self._acceptance.awaited(revision)
-        return ChangeStatus(revision, ChangeState.PROPOSED, awaited)
+        awaited_routers = await self._acceptance.awaited_routers(revision)
+        return ChangeStatus(revision, ChangeState.PROPOSED, awaited_routers)
 
     async def status_of_operation(self, operation_id: OperationId) -> ChangeStatus | None:
         """Return the state of the change that an operation made, or None if it made none."""
@@ -193,7 +193,7 @@
         proposer = self._blackboard.identity.incarnation
         return LogEntry(self._state.revision + 1, operation_id, change, proposer, fingerprint)
 
-    async def _answer(
+    async def _repeat_answer(
         self, earlier: Result[int, ConfigurationConflict]
     ) -> Result[ChangeStatus, ConfigurationConflict]:
         if isinstance(earlier, Failure):
@@ -219,7 +219,7 @@
                 cursor = await self._watch_once(cursor)
             except KvError:
                 cursor = -1
-                await self._clock.sleep(RETRY_SECONDS)
+                await self._clock.sleep(WATCH_RETRY_SECONDS)
 
     async def _watch_once(self, cursor: int) -> int:
         """Wait for one batch of changes and apply them.
@@ -229,28 +229,28 @@
         if cursor < 0:
             cursor = (await self._kv.watch(CONFIGURATION_PREFIX, -1, 0.0)).cursor
             await self.synchronize()
-            for reread in self._reread_hooks:
-                await reread()
+            for resync in self._resync_hooks:
+                await resync()
         requested_at = self._clock.monotonic()
         batch = await self._kv.watch(CONFIGURATION_PREFIX, cursor, WATCH_TIMEOUT_SECONDS)
         waited = self._clock.monotonic() - requested_at
-        if batch.reset or waited > WATCH_TIMEOUT_SECONDS + STALE_WATCH_SECONDS:
+        if batch.reset or waited > WATCH_TIMEOUT_SECONDS + MAX_WATCH_DELAY_SECONDS:
             return -1
         for event in batch.events:
-            await self._take(event)
+            await self._apply_event(event)
         await self._clock.sleep(MIN_WATCH_INTERVAL_SECONDS)
         return batch.cursor
 
-    async def _take(self, event: KvEvent) -> None:
-        if event.key == FLEET_KEY and event.entry is not None:
-            self._acceptance.note(decode_fleet(event.entry))
+    async def _apply_event(self, event: KvEvent) -> None:
+        if event.key == LOG_STATE_KEY and event.entry is not None:
+            self._acceptance.update_accepted(decode_log_state(event.entry))
         elif not event.key.startswith(LOG_PREFIX):
             for hook in self._key_hooks:
                 await hook(event.key, event.entry)
         elif event.entry is not None:
-            await self._take_log_entry(event.entry)
+            await self._apply_log_entry(event.entry)
 
-    async def _take_log_entry(self, stored: KvEntry) -> None:
+    async def _apply_log_entry(self, stored: KvEntry) -> None:
         entry = decode_entry(stored)
         if entry.revision > self._state.revision + 1:
             await self.synchronize()
@@ -262,10 +262,10 @@
     async def _poll_forever(self) -> None:
         for polls in count():
             members = len(self._blackboard.members_by_incarnation)
-            interval = max(POLL_SECONDS, members / POLLS_PER_SECOND)
+            interval = max(MIN_POLL_INTERVAL_SECONDS, members / MAX_FLEET_POLLS_PER_SECOND)
             await self._clock.sleep(interval * self._rng.uniform(0.8, 1.2))
             try:
-                is_full = polls % FULL_POLL_PERIOD == 0
+                is_full = polls % POLLS_PER_FULL_POLL == 0
                 if is_full or await self._log.has_entry(self._state.revision + 1):
                     await self.synchronize()
             except KvError:
@@ -276,11 +276,13 @@
             await self._changed.wait()
             self._changed.clear()
             members = len(self._blackboard.members_by_incarnation)
-            await self._clock.sleep(self._rng.uniform(0.0, members / CONFIRMATIONS_PER_SECOND))
+            await self._clock.sleep(
+                self._rng.uniform(0.0, members / MAX_FLEET_CONFIRMATIONS_PER_SECOND)
+            )
             try:
                 await self._confirm()
             except KvError:
-                await self._clock.sleep(RETRY_SECONDS)
+                await self._clock.sleep(WATCH_RETRY_SECONDS)
                 self._changed.set()
             except FencedError:
                 continue
--- a/packages/quinceferry-daemon/src/quinceferryd/configuration_log.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/configuration_log.py
@@ -1,7 +1,7 @@
 """The configuration log in the key-value service: reading, appending, snapshots, compaction.
 
 Each revision is one key created only if absent. Compaction deletes old keys, so an absent key may
-also be a deleted one. ``FleetConfiguration.floor`` tells them apart: it is raised before any key
+also be a deleted one. ``LogState.floor`` tells them apart: it is raised before any key
 below it is deleted, and every reader and writer checks it after touching the log.
 """
 
@@ -16,10 +16,10 @@
 CONFIGURATION_PREFIX = "config/"
 """Prefix that every router watches."""
 LOG_PREFIX = "config/log/"
-FLEET_KEY = "config/state"
+LOG_STATE_KEY = "config/state"
 SNAPSHOT_PREFIX = "snapshots/"
 """Snapshots are outside the watched prefix."""
-SNAPSHOT_INTERVAL = 256
+SNAPSHOT_INTERVAL_REVISIONS = 256
 """Accepted revisions between two snapshots."""
 RETAINED_ENTRIES = 256
 """Entries kept below a snapshot for routers that lag."""
@@ -27,7 +27,7 @@
 """Entries read one by one before the whole log is listed."""
 
 
-class FleetConfiguration(msgspec.Struct, frozen=True):
+class LogState(msgspec.Struct, frozen=True):
     """What the fleet has agreed on about its log.
 
     ``accepted`` is the revision in force at every router that may serve; ``floor`` the lowest one
@@ -49,18 +49,16 @@
     def __init__(self, kv: KvStore) -> None:
         self._kv = kv
 
-    async def read_fleet(self) -> FleetConfiguration:
+    async def read_log_state(self) -> LogState:
         """Read what the fleet has agreed on."""
-        fleet, _ = await self._read_fleet_entry()
-        return fleet
+        log_state, _ = await self._read_log_state_entry()
+        return log_state
 
     async def has_entry(self, revision: int) -> bool:
         """Tell whether a revision is in the log; one that is not may have been compacted."""
         return await self._kv.get(log_key(revision)) is not None
 
-    async def catch_up(
-        self, state: ConfigurationState
-    ) -> tuple[ConfigurationState, FleetConfiguration]:
+    async def catch_up(self, state: ConfigurationState) -> tuple[ConfigurationState, LogState]:
         """Bring a state to the end of the log.
 
         :param state: any earlier state; it is changed in place unless a snapshot replaces it.
@@ -69,13 +67,13 @@
         while True:
             first = state.revision + 1
             entries = await self._read_entries(first)
-            fleet = await self.read_fleet()
-            if first >= fleet.floor:
+            log_state = await self.read_log_state()
+            if first >= log_state.floor:
                 break
-            state = await self._load_snapshot(fleet.snapshot) or state
+            state = await self._load_snapshot(log_state.snapshot) or state
         for entry in entries:
             state.apply(entry)
-        return state, fleet
+        return state, log_state
 
     async def append(self, entry: LogEntry) -> bool:
         """Create the next entry.
@@ -88,23 +86,23 @@
             stored = await self._kv.put_if(key, msgspec.json.encode(entry), ABSENT_VERSION)
         except KvConflictError:
             return False
-        fleet = await self.read_fleet()
-        if entry.revision >= fleet.floor:
+        log_state = await self.read_log_state()
+        if entry.revision >= log_state.floor:
             return True
         await self._delete(key, stored.version)
         return False
 
-    async def mark_accepted(self, revision: int) -> FleetConfiguration:
+    async def mark_accepted(self, revision: int) -> LogState:
         """Raise the accepted revision; it never falls.
 
         :return: what the fleet has agreed on now.
         """
         while True:
-            fleet, version = await self._read_fleet_entry()
-            if fleet.accepted >= revision:
-                return fleet
-            changed = msgspec.structs.replace(fleet, accepted=revision)
-            if await self._swap_fleet(changed, version):
+            log_state, version = await self._read_log_state_entry()
+            if log_state.accepted >= revision:
+                return log_state
+            changed = msgspec.structs.replace(log_state, accepted=revision)
+            if await self._swap_log_state(changed, version):
                 return changed
 
     async def compact(self, state: ConfigurationState) -> bool:
@@ -118,12 +116,12 @@
         """
         shards = encode_shards(state)
         ref = SnapshotRef(state.revision, len(shards))
-        fleet, version = await self._read_fleet_entry()
-        if fleet.accepted - fleet.snapshot.revision < SNAPSHOT_INTERVAL:
+        log_state, version = await self._read_log_state_entry()
+        if log_state.accepted - log_state.snapshot.revision < SNAPSHOT_INTERVAL_REVISIONS:
             return False
-        announced = msgspec.structs.replace(fleet, stale=(*fleet.stale, ref))
-        if ref.revision <= fleet.snapshot.revision or not await self._swap_fleet(
-            announced, version
+        with_stale_snapshot = msgspec.structs.replace(log_state, stale=(*log_state.stale, ref))
+        if ref.revision <= log_state.snapshot.revision or not await self._swap_log_state(
+            with_stale_snapshot, version
         ):
             return False
         await self._write_shards(ref, shards)
@@ -131,35 +129,35 @@
 
     async def _adopt_snapshot(self, ref: SnapshotRef) -> bool:
         while True:
-            fleet, version = await self._read_fleet_entry()
-            if ref not in fleet.stale or ref.revision <= fleet.snapshot.revision:
+            log_state, version = await self._read_log_state_entry()
+            if ref not in log_state.stale or ref.revision <= log_state.snapshot.revision:
                 return False
-            stale = tuple(other for other in fleet.stale if other != ref)
-            adopted = msgspec.structs.replace(
-                fleet,
+            stale = tuple(other for other in log_state.stale if other != ref)
+            with_adopted_snapshot = msgspec.structs.replace(
+                log_state,
                 snapshot=ref,
-                floor=max(fleet.floor, ref.revision - RETAINED_ENTRIES + 1),
-                stale=(fleet.snapshot, *stale),
+                floor=max(log_state.floor, ref.revision - RETAINED_ENTRIES + 1),
+                stale=(log_state.snapshot, *stale),
             )
-            if await self._swap_fleet(adopted, version):
-                await self._delete_old(adopted)
+            if await self._swap_log_state(with_adopted_snapshot, version):
+                await self._delete_old(with_adopted_snapshot)
                 return True
 
-    async def _delete_old(self, fleet: FleetConfiguration) -> None:
+    async def _delete_old(self, log_state: LogState) -> None:
         """Delete entries below the floor and shards of stale snapshots, then forget the latter.
 
         A stale snapshot newer than the adopted one is still being written; it is left alone.
         """
         for entry in await self._kv.list(LOG_PREFIX):
-            if entry.key < log_key(fleet.floor):
+            if entry.key < log_key(log_state.floor):
                 await self._delete(entry.key, entry.version)
-        deleted = [ref for ref in fleet.stale if ref.revision < fleet.snapshot.revision]
+        deleted = [ref for ref in log_state.stale if ref.revision < log_state.snapshot.revision]
         for ref in deleted:
             for index in range(ref.shards):
                 await self._delete_key(_shard_key(ref, index))
-        current, version = await self._read_fleet_entry()
+        current, version = await self._read_log_state_entry()
         stale = tuple(ref for ref in current.stale if ref not in deleted)
-        await self._swap_fleet(msgspec.structs.replace(current, stale=stale), version)
+        await self._swap_log_state(msgspec.structs.replace(current, stale=stale), version)
 
     async def _read_entries(self, first: int) -> list[LogEntry]:
         """Read consecutive entries from a revision to the end of the log."""
@@ -192,15 +190,15 @@
             if existing is None:
                 await self._kv.put_if(key, shard, ABSENT_VERSION)
 
-    async def _read_fleet_entry(self) -> tuple[FleetConfiguration, int]:
-        stored = await self._kv.get(FLEET_KEY)
+    async def _read_log_state_entry(self) -> tuple[LogState, int]:
+        stored = await self._kv.get(LOG_STATE_KEY)
         if stored is None:
-            return FleetConfiguration(), ABSENT_VERSION
-        return decode_fleet(stored), stored.version
+            return LogState(), ABSENT_VERSION
+        return decode_log_state(stored), stored.version
 
-    async def _swap_fleet(self, fleet: FleetConfiguration, version: int) -> bool:
+    async def _swap_log_state(self, log_state: LogState, version: int) -> bool:
         try:
-            await self._kv.put_if(FLEET_KEY, msgspec.json.encode(fleet), version)
+            await self._kv.put_if(LOG_STATE_KEY, msgspec.json.encode(log_state), version)
         except KvConflictError:
             return False
         return True
@@ -227,9 +225,9 @@
     return msgspec.json.decode(stored.value, type=LogEntry)
 
 
-def decode_fleet(stored: KvEntry) -> FleetConfiguration:
+def decode_log_state(stored: KvEntry) -> LogState:
     """Read what the fleet has agreed on."""
-    return msgspec.json.decode(stored.value, type=FleetConfiguration)
+    return msgspec.json.decode(stored.value, type=LogState)
 
 
 def _shard_key(ref: SnapshotRef, index: int) -> str:
--- a/packages/quinceferry-daemon/src/quinceferryd/engine_orders.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/engine_orders.py
@@ -15,15 +15,15 @@
 from quinceferryd.blackboard import Blackboard
 from quinceferryd.order_shards import HeldShard, OrderShards
 
-SETTLE_SECONDS = 3.0
+REPORT_LAG_SECONDS = 3.0
 """How long after an order an engine's report may still show the state before it."""
-REPORT_SECONDS = 10.0
+REPORT_INTERVAL_SECONDS = 10.0
 """Time between two reports of an engine that is as it should be."""
-REPORTS_PER_SECOND = 3.0
+MAX_REPORTS_PER_SECOND = 3.0
 """Reports that one holder reads; with many engines each is read more rarely."""
-FULL_SECONDS = 60.0
+FULL_ENGINE_SECONDS = 60.0
 """How long an engine that refused a load counts as full."""
-ROLE_SECONDS = 60.0
+ROLE_REPEAT_INTERVAL_SECONDS = 60.0
 """Time between two orders of the same role, which no report shows."""
 
 _NO_MODEL = ModelRef("")
@@ -64,7 +64,7 @@
         self._clock = clock
         self._shards = shards
         self._states_by_id: dict[UpstreamId, EngineState] = {}
-        self._report_seconds = REPORT_SECONDS
+        self._report_interval_seconds = REPORT_INTERVAL_SECONDS
         self.orders_sent = 0
         self.orders_refused = 0
 
@@ -72,9 +72,11 @@
         """Return what is known of an engine."""
         return self._states_by_id.setdefault(upstream, EngineState())
 
-    def keep_only(self, upstreams: set[UpstreamId]) -> None:
+    def retain_engines(self, upstreams: set[UpstreamId]) -> None:
         """Forget engines that this router no longer orders, and pace the reports of the rest."""
-        self._report_seconds = max(REPORT_SECONDS, len(upstreams) / REPORTS_PER_SECOND)
+        self._report_interval_seconds = max(
+            REPORT_INTERVAL_SECONDS, len(upstreams) / MAX_REPORTS_PER_SECOND
+        )
         for upstream in self._states_by_id.keys() - upstreams:
             del self._states_by_id[upstream]
 
@@ -82,28 +84,30 @@
         """Return an engine's state, from a report that is recent enough."""
         state = self.state(spec.id)
         now = self._clock.monotonic()
-        is_settling = now < state.ordered_at + SETTLE_SECONDS + REPORT_SECONDS
-        if is_settling or state.loading or now >= state.read_at + self._report_seconds:
-            await self._read(spec, state)
-        return self._record(spec, state)
+        is_settling = now < state.ordered_at + REPORT_LAG_SECONDS + REPORT_INTERVAL_SECONDS
+        if is_settling or state.loading or now >= state.read_at + self._report_interval_seconds:
+            await self._read_report(spec, state)
+        return self._build_record(spec, state)
 
     async def load(self, shard: HeldShard, spec: UpstreamSpec, model: ModelRef) -> bool:
         """Order a load; return whether it was taken."""
-        is_taken = await self._send(shard, spec, OrderKind.LOAD, model)
-        if not is_taken and self._shards.may_send(shard):
-            self.state(spec.id).full_until = self._clock.monotonic() + FULL_SECONDS
-        return is_taken
+        is_accepted = await self._send(shard, spec, OrderKind.LOAD, model)
+        if not is_accepted and self._shards.can_send(shard):
+            self.state(spec.id).full_until = self._clock.monotonic() + FULL_ENGINE_SECONDS
+        return is_accepted
 
     async def unload(self, shard: HeldShard, spec: UpstreamSpec, model: ModelRef) -> bool:
         """Order an unload; return whether it was taken."""
         self.state(spec.id).full_until = float("-inf")
         return await self._send(shard, spec, OrderKind.UNLOAD, model)
 
-    async def assert_role(self, shard: HeldShard, spec: UpstreamSpec) -> None:
+    async def order_role(self, shard: HeldShard, spec: UpstreamSpec) -> None:
         """Order the configured role, when it changed and now and then again."""
         state = self.state(spec.id)
         now = self._clock.monotonic()
-        is_due = state.role != spec.role or now >= state.role_ordered_at + ROLE_SECONDS
+        is_due = (
+            state.role != spec.role or now >= state.role_ordered_at + ROLE_REPEAT_INTERVAL_SECONDS
+        )
         if spec.role and is_due:
             state.role_ordered_at = now
             if await self._send(shard, spec, OrderKind.CHANGE_ROLE, _NO_MODEL, spec.role):
@@ -118,10 +122,10 @@
         if spec.checks_fencing and report is not None and report.loaded:
             await self._send(shard, spec, OrderKind.LOAD, report.loaded[0])
 
-    def is_settled(self, upstream: UpstreamId) -> bool:
+    def is_report_current(self, upstream: UpstreamId) -> bool:
         """Tell whether the last report is newer than the effect of the last order."""
         state = self.state(upstream)
-        return state.read_at >= state.ordered_at + SETTLE_SECONDS
+        return state.read_at >= state.ordered_at + REPORT_LAG_SECONDS
 
     async def _send(
         self,
@@ -132,7 +136,7 @@
         role: str = "",
     ) -> bool:
         order = EngineOrder(kind, model, shard.fencing, shard.next_sequence(), role)
-        if not self._shards.may_send(shard):
+        if not self._shards.can_send(shard):
             return False
         self.state(spec.id).ordered_at = self._clock.monotonic()
         self.orders_sent += 1
@@ -146,7 +150,7 @@
             return True
         return True
 
-    async def _read(self, spec: UpstreamSpec, state: EngineState) -> None:
+    async def _read_report(self, spec: UpstreamSpec, state: EngineState) -> None:
         requested_at = self._clock.monotonic()
         try:
             state.report = await self._upstreams.load(spec)
@@ -154,7 +158,7 @@
             state.report = None
         state.read_at = requested_at
 
-    def _record(self, spec: UpstreamSpec, state: EngineState) -> EngineRecord:
+    def _build_record(self, spec: UpstreamSpec, state: EngineState) -> EngineRecord:
         loading = (state.loading,) if state.loading else ()
         if state.report is None:
             return EngineRecord(spec.id, loading=loading, usable=False)
--- a/packages/quinceferry-daemon/src/quinceferryd/keys.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/keys.py
@@ -29,7 +29,7 @@
         :return: the workspace, or None for a wrong key.
         """
         if configuration is not self._configuration:
-            self._workspaces_by_hash = _by_hash(configuration)
+            self._workspaces_by_hash = _index_by_hash(configuration)
             self._configuration = configuration
         return self._workspaces_by_hash.get(bearer_digest(authorization))
 
@@ -46,16 +46,16 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def opens(authorization: str, key: str) -> bool:
+def matches_key(authorization: str, key: str) -> bool:
     """Compare a bearer key with a known key, in constant time."""
     return hmac.compare_digest(bearer_digest(authorization), key_digest(key))
 
 
-def _by_hash(configuration: Configuration) -> dict[str, WorkspaceSpec | None]:
+def _index_by_hash(configuration: Configuration) -> dict[str, WorkspaceSpec | None]:
     """Return all workspaces by key digest; None for a digest listed twice."""
     workspaces_by_hash: dict[str, WorkspaceSpec | None] = {}
     for workspace in configuration.workspaces_by_id.values():
         for digest in workspace.key_hashes:
-            known = workspaces_by_hash.get(digest, workspace)
-            workspaces_by_hash[digest] = workspace if known is workspace else None
+            matching = workspaces_by_hash.get(digest, workspace)
+            workspaces_by_hash[digest] = workspace if matching is workspace else None
     return workspaces_by_hash
--- a/packages/quinceferry-daemon/src/quinceferryd/kv_client.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/kv_client.py
@@ -117,9 +117,9 @@
         verb: str,
         request: msgspec.Struct,
         reply_type: type[T] | None,
-        extra_seconds: float = 0.0,
+        watch_seconds: float = 0.0,
     ) -> T:
-        response = await self._send(verb, request, extra_seconds)
+        response = await self._send(verb, request, watch_seconds)
         self._check_status(verb, response)
         try:
             return msgspec.json.decode(response.content, type=reply_type)
@@ -127,10 +127,10 @@
             raise self._error(KvUnavailableError, verb, f"unreadable answer: {error}") from error
 
     async def _send(
-        self, verb: str, request: msgspec.Struct, extra_seconds: float
+        self, verb: str, request: msgspec.Struct, watch_seconds: float
     ) -> httpx.Response:
         # The limit covers the whole exchange; httpx's own limits restart with each read.
-        limit = self._timeout_seconds + extra_seconds
+        limit = self._timeout_seconds + watch_seconds
         url = f"{self._base_url}{KV_PATH}/{verb}"
         body = msgspec.json.encode(request)
         try:
@@ -155,5 +155,5 @@
             raise self._error(KvUnavailableError, verb, detail)
         raise self._error(KvError, verb, detail)
 
-    def _error(self, kind: type[KvError], verb: str, detail: str) -> KvError:
-        return kind(detail, step=f"kv.{verb}", peer=self._base_url)
+    def _error(self, error_type: type[KvError], verb: str, detail: str) -> KvError:
+        return error_type(detail, step=f"kv.{verb}", peer=self._base_url)
--- a/packages/quinceferry-daemon/src/quinceferryd/kv_health.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/kv_health.py
@@ -60,7 +60,7 @@
         self._clock = clock
         self._counter = counter
         self._answered_at = float("-inf")
-        self._outage = asyncio.Event()
+        self._in_outage = asyncio.Event()
 
     async def get(self, key: str) -> KvEntry | None:
         """Read one key."""
@@ -100,7 +100,7 @@
 
     async def wait_for_outage(self) -> None:
         """Return at once during an outage, else when one begins."""
-        await self._outage.wait()
+        await self._in_outage.wait()
 
     async def _monitor(self, verb: str, key: str, call: Awaitable[T]) -> T:
         kind = call_kind(verb, key)
@@ -111,14 +111,14 @@
         except KvUnavailableError as error:
             self._count(kind, "unavailable")
             if verb != _WATCH:
-                self._note_failure(started_at, error)
+                self._record_failure(started_at, error)
             raise
         except KvError as error:
             self._count(kind, type(error).__name__)
-            self._note_answer()
+            self._record_answer()
             raise
         self._count(kind, "ok")
-        self._note_answer()
+        self._record_answer()
         return result
 
     def _count(self, kind: KvCallKind, result: str) -> None:
@@ -126,19 +126,19 @@
             attributes = {"purpose": kind.purpose, "verb": kind.verb, "result": result}
             self._counter.add(1, attributes)
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         self._answered_at = self._clock.monotonic()
         if self._health.available:
             return
-        self._outage.clear()
+        self._in_outage.clear()
         self._set_available(True)
         _log.info("kv available")
 
-    def _note_failure(self, started_at: float, error: KvUnavailableError) -> None:
+    def _record_failure(self, started_at: float, error: KvUnavailableError) -> None:
         if not self._health.available or self._answered_at > started_at:
             return
         self._set_available(False)
-        self._outage.set()
+        self._in_outage.set()
         _log.warning("kv unavailable", step=error.step, peer=error.peer, detail=error.detail)
 
     def _set_available(self, available: bool) -> None:
@@ -166,9 +166,9 @@
 
     async def start(self) -> None:
         """Start to wait for outages."""
-        self.spawn(self._run(), "kv probe")
+        self.spawn(self._probe_forever(), "kv probe")
 
-    async def _run(self) -> None:
+    async def _probe_forever(self) -> None:
         while True:
             await self._kv.wait_for_outage()
             await self._probe_until_available()
--- a/packages/quinceferry-daemon/src/quinceferryd/load_queue.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/load_queue.py
@@ -10,11 +10,11 @@
 from quinceferryd.membership import MembershipController
 
 LOAD_PREFIX = "loads/"
-TICKET_KEY = "load-tickets"
+TICKET_COUNTER_KEY = "load-tickets"
 """Counter that orders the loads; each ticket is a key below ``loads/``."""
 MAX_CONCURRENT_LOADS = 2
 """Loads of the whole fleet at a time; more would only share the same rate."""
-CHECK_SECONDS = 1.0
+CHECK_INTERVAL_SECONDS = 1.0
 LATE_WRITE_SECONDS = 30.0
 """How long after a call without an answer its write may still take effect."""
 
@@ -46,14 +46,14 @@
 
         :raises KvError: the ticket was lost, with the lease or in an outage; ask again.
         """
-        key, version = await self._take_ticket()
+        key, version = await self._create_ticket()
         try:
-            await self._wait(key)
+            await self._wait_for_turn(key)
             yield
         finally:
-            await self._give_back(key, version)
+            await self._release_ticket(key, version)
 
-    async def sweep(self) -> None:
+    async def delete_abandoned(self) -> None:
         """Delete tickets whose writing or deletion got no answer; the lease would keep them.
 
         :raises KvError: the service did not answer; call again.
@@ -65,43 +65,43 @@
             elif self._clock.monotonic() >= abandoned_at + LATE_WRITE_SECONDS:
                 del self._abandoned_at_by_key[key]
 
-    async def _take_ticket(self) -> tuple[str, int]:
+    async def _create_ticket(self) -> tuple[str, int]:
         number = await self._draw_number()
         incarnation = self._membership.record.incarnation if self._membership.record else ""
         key = f"{LOAD_PREFIX}{number:012d}-{incarnation}"
-        self._abandon(key)
+        self._mark_abandoned(key)
         entry = await self._kv.put_if(key, b"{}", ABSENT_VERSION, self._membership.lease)
         del self._abandoned_at_by_key[key]
         return key, entry.version
 
     async def _draw_number(self) -> int:
         while True:
-            entry = await self._kv.get(TICKET_KEY)
+            entry = await self._kv.get(TICKET_COUNTER_KEY)
             drawn = int(entry.value) + 1 if entry else 1
             version = entry.version if entry else ABSENT_VERSION
             try:
-                await self._kv.put_if(TICKET_KEY, str(drawn).encode(), version)
+                await self._kv.put_if(TICKET_COUNTER_KEY, str(drawn).encode(), version)
             except KvConflictError:
                 continue
             return drawn
 
-    async def _wait(self, key: str) -> None:
+    async def _wait_for_turn(self, key: str) -> None:
         while True:
             keys = [entry.key for entry in await self._kv.list(LOAD_PREFIX)]
             if key not in keys:
                 raise KvConflictError("the ticket is gone", step="loads.wait", peer=key)
             if keys.index(key) < MAX_CONCURRENT_LOADS:
                 return
-            await self._clock.sleep(CHECK_SECONDS * self._rng.uniform(0.8, 1.2))
+            await self._clock.sleep(CHECK_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2))
 
-    async def _give_back(self, key: str, version: int) -> None:
+    async def _release_ticket(self, key: str, version: int) -> None:
         """Delete the ticket; one that cannot be deleted now is swept later."""
-        self._abandon(key)
+        self._mark_abandoned(key)
         try:
             await self._kv.delete_if(key, version)
         except KvError:
             return
         del self._abandoned_at_by_key[key]
 
-    def _abandon(self, key: str) -> None:
+    def _mark_abandoned(self, key: str) -> None:
         self._abandoned_at_by_key[key] = self._clock.monotonic()
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
@@ -19,7 +19,7 @@
 from quinceferry_core.operator_messages import OPERATOR_PATH, REPLIES_BY_MESSAGE
 from quinceferryd.blackboard import RouterState
 from quinceferryd.budgets import TopUpRejected
-from quinceferryd.keys import opens
+from quinceferryd.keys import matches_key
 from quinceferryd.operator_changes import builder_of, fingerprint_of
 from quinceferryd.operator_failures import (
     RETRY_SECONDS,
@@ -148,7 +148,7 @@
 
     def holds_key(self, authorization: str) -> bool:
         """Return whether an ``Authorization`` header carries the operators' key."""
-        return opens(authorization, self._application.settings.router.operator_key)
+        return matches_key(authorization, self._application.settings.router.operator_key)
 
     def _check_ready(self) -> None:
         """Refuse a call before this router has joined, when it knows nothing of the fleet."""
--- a/packages/quinceferry-daemon/src/quinceferryd/order_shards.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/order_shards.py
@@ -23,7 +23,7 @@
 
 ORDER_PREFIX = "orders/"
 SHARDS_PER_ZONE = 8
-SEND_MARGIN_SECONDS = 2.0
+LEASE_SEND_MARGIN_SECONDS = 2.0
 """How long before the end of its lease a holder stops sending."""
 
 
@@ -78,7 +78,7 @@
         self._clock = clock
         self._membership = membership
         self.held_by_name: dict[str, HeldShard] = {}
-        self._unsure_since_by_name: dict[str, float] = {}
+        self._uncertain_since_by_name: dict[str, float] = {}
 
     def engines_by_shard(self) -> dict[str, list[UpstreamSpec]]:
         """Return the configured engines of each shard."""
@@ -88,13 +88,13 @@
                 engines.setdefault(shard_of(spec), []).append(spec)
         return engines
 
-    def may_send(self, shard: HeldShard) -> bool:
+    def can_send(self, shard: HeldShard) -> bool:
         """Tell whether an order may be sent now: the shard is held, with time to spare.
 
         A process may still be paused after this check; what such a late order does is undone.
         """
         is_held = self.held_by_name.get(shard.name) is shard
-        ends_at = self._membership.lease_valid_until - SEND_MARGIN_SECONDS
+        ends_at = self._membership.lease_valid_until - LEASE_SEND_MARGIN_SECONDS
         return is_held and shard.lease == self._membership.lease and self._now() < ends_at
 
     async def update(self) -> None:
@@ -102,17 +102,17 @@
 
         :raises KvError: the service did not answer; call again.
         """
-        self._drop_lapsed()
+        self._remove_lapsed()
         wanted = {name for name in self.engines_by_shard() if self._ranks_first(name)}
         for name in [name for name in self.held_by_name if name not in wanted]:
             del self.held_by_name[name]
-            self._unsure_since_by_name[name] = self._now()
-        for name in sorted(self._unsure_since_by_name.keys() - wanted):
+            self._uncertain_since_by_name[name] = self._now()
+        for name in sorted(self._uncertain_since_by_name.keys() - wanted):
             await self._release(name)
         if not self._membership.lease:
             return
         for name in sorted(wanted - self.held_by_name.keys()):
-            await self._take(name)
+            await self._acquire(name)
 
     async def publish(self, shard: HeldShard, engines: tuple[EngineRecord, ...]) -> None:
         """Write what is known of a shard's engines, if it changed.
@@ -127,7 +127,7 @@
                 _key(shard.name), msgspec.json.encode(record), shard.version, shard.lease
             )
         except (KvConflictError, LeaseLostError):
-            if not await self._find_own(shard):
+            if not await self._adopt_own_write(shard):
                 self.held_by_name.pop(shard.name, None)
             return
         shard.version = entry.version
@@ -138,7 +138,7 @@
         entries = await self._kv.list(ORDER_PREFIX)
         return tuple(msgspec.json.decode(entry.value, type=ShardRecord) for entry in entries)
 
-    def _drop_lapsed(self) -> None:
+    def _remove_lapsed(self) -> None:
         """Forget shards whose lease has ended; their keys went with it."""
         lease = self._membership.lease
         held = self.held_by_name.items()
@@ -148,11 +148,11 @@
         members = self._blackboard.members_by_incarnation.values()
         serving = [m for m in members if m.state is MemberState.SERVING]
         zone = name.rpartition("-")[0]
-        near = [m for m in serving if m.zone == zone] or serving
-        ranked = rendezvous_order(name, [m.incarnation for m in near])
+        same_zone = [m for m in serving if m.zone == zone] or serving
+        ranked = rendezvous_order(name, [m.incarnation for m in same_zone])
         return bool(ranked) and ranked[0] == self._blackboard.identity.incarnation
 
-    async def _take(self, name: str) -> None:
+    async def _acquire(self, name: str) -> None:
         """Write this router's record if there is none, or its own from an unanswered write."""
         own = self._blackboard.identity.incarnation
         existing = await self._kv.get(_key(name))
@@ -162,7 +162,7 @@
             record = msgspec.json.decode(existing.value, type=ShardRecord)
         if record.holder != own:
             return
-        self._unsure_since_by_name[name] = self._now()
+        self._uncertain_since_by_name[name] = self._now()
         lease = self._membership.lease
         version = existing.version if existing else ABSENT_VERSION
         try:
@@ -171,7 +171,7 @@
             return
         self.held_by_name[name] = HeldShard(name, record.fencing, lease, entry.version, self._now())
 
-    async def _find_own(self, shard: HeldShard) -> bool:
+    async def _adopt_own_write(self, shard: HeldShard) -> bool:
         """After a conflict, tell whether an earlier write of ours was the cause."""
         entry = await self._kv.get(_key(shard.name))
         if entry is None:
@@ -186,8 +186,8 @@
         entry = await self._kv.get(_key(name))
         if entry is not None and self._is_own(entry):
             await self._kv.delete_if(entry.key, entry.version)
-        elif self._now() >= self._unsure_since_by_name[name] + LATE_WRITE_SECONDS:
-            del self._unsure_since_by_name[name]
+        elif self._now() >= self._uncertain_since_by_name[name] + LATE_WRITE_SECONDS:
+            del self._uncertain_since_by_name[name]
 
     def _is_own(self, entry: KvEntry) -> bool:
         record = msgspec.json.decode(entry.value, type=ShardRecord)
--- a/packages/quinceferry-daemon/src/quinceferryd/orders.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/orders.py
@@ -23,22 +23,22 @@
 from quinceferryd.model_demand import ModelDemand
 from quinceferryd.order_shards import HeldShard, OrderShards
 
-CYCLE_SECONDS = 2.0
-FLEET_READ_SECONDS = 5.0
+RECONCILE_INTERVAL_SECONDS = 2.0
+MIN_FLEET_READ_INTERVAL_SECONDS = 5.0
 """Time between two reads of the records of all shards and of the fleet's demand."""
-UPSTREAMS_READ_PER_SECOND = 150.0
+MAX_UPSTREAMS_READ_PER_SECOND = 150.0
 """Records of engines read by each holder; a larger fleet is read more rarely."""
-PATIENCE_SECONDS = 30.0
+MAX_RECORDS_WAIT_SECONDS = 30.0
 """How long loads wait for the records of all engines; without them, every holder would load."""
-DETACHED_SECONDS = 300.0
+DETACHED_MODEL_RETENTION_SECONDS = 300.0
 """How long a model stays loaded after no workspace has it attached, if there is room."""
-TAKEOVER_SECONDS = 15.0
+TAKEOVER_DELAY_SECONDS = 15.0
 """How long a new holder waits before it unloads: a lease and its predecessor's longest call."""
 MAX_LOAD_SECONDS = 180.0
 """Bound of one load, so that an engine that never finishes does not hold its turn."""
-REPEAT_SECONDS = 20.0
+LOAD_REPEAT_INTERVAL_SECONDS = 20.0
 """Time between two orders of the same load while it is awaited."""
-LOAD_CHECK_SECONDS = 1.0
+LOAD_CHECK_INTERVAL_SECONDS = 1.0
 
 
 class OrderController(TaskGroupController):
@@ -78,7 +78,7 @@
 
     async def start(self) -> None:
         """Start giving orders."""
-        self.spawn(self._run(), "orders")
+        self.spawn(self._reconcile_forever(), "orders")
 
     async def reconcile(self) -> None:
         """Compare the engines of the held shards with what they should have, and order once.
@@ -87,24 +87,26 @@
         """
         await self.shards.update()
         await self._demand.publish()
-        await self._queue.sweep()
+        await self._queue.delete_abandoned()
         if not self.shards.held_by_name:
             return
         await self._read_fleet()
         specs_by_shard = self.shards.engines_by_shard()
         for shard in list(self.shards.held_by_name.values()):
             await self._observe(shard, specs_by_shard.get(shard.name, []))
-        own = {spec.id for name in self.shards.held_by_name for spec in specs_by_shard[name]}
-        self.engines.keep_only(own)
+        own_engines = {
+            spec.id for name in self.shards.held_by_name for spec in specs_by_shard[name]
+        }
+        self.engines.retain_engines(own_engines)
         if self._is_view_complete():
             self._start_loads()
         for shard in list(self.shards.held_by_name.values()):
             for spec in specs_by_shard.get(shard.name, []):
-                await self._order(shard, spec)
+                await self._send_other_orders(shard, spec)
 
-    async def _run(self) -> None:
+    async def _reconcile_forever(self) -> None:
         while True:
-            await self._clock.sleep(CYCLE_SECONDS * self._rng.uniform(0.8, 1.2))
+            await self._clock.sleep(RECONCILE_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2))
             if self._blackboard.state is not RouterState.SERVING:
                 continue
             try:
@@ -115,7 +117,7 @@
     async def _read_fleet(self) -> None:
         """Read the records of all shards and the fleet's demand, unless that was done lately."""
         engines = len(self._blackboard.configuration.upstreams_by_id)
-        interval = max(FLEET_READ_SECONDS, engines / UPSTREAMS_READ_PER_SECOND)
+        interval = max(MIN_FLEET_READ_INTERVAL_SECONDS, engines / MAX_UPSTREAMS_READ_PER_SECOND)
         now = self._clock.monotonic()
         if now < self._fleet_read_at + interval:
             return
@@ -133,14 +135,14 @@
             return True
         if self._incomplete_since is None:
             self._incomplete_since = now
-        return now >= self._incomplete_since + PATIENCE_SECONDS
+        return now >= self._incomplete_since + MAX_RECORDS_WAIT_SECONDS
 
     async def _observe(self, shard: HeldShard, specs: list[UpstreamSpec]) -> None:
-        is_new = not shard.engines
+        is_first_observation = not shard.engines
         engines = tuple([await self.engines.observe(spec) for spec in specs])
         await self.shards.publish(shard, engines)
         self._fleet_engines.update({engine.upstream: engine for engine in engines})
-        if is_new:
+        if is_first_observation:
             for spec in specs:
                 await self.engines.raise_fencing(shard, spec)
 
@@ -165,42 +167,42 @@
         """Have an engine load a model when its turn at the weight store has come."""
         try:
             async with self._queue.turn():
-                await self._load_now(shard, wish)
+                await self._order_load_until_done(shard, wish)
         except KvError:
             return
         finally:
             self.engines.state(wish.upstream).loading = None
 
-    async def _load_now(self, shard: HeldShard, wish: Wish) -> None:
+    async def _order_load_until_done(self, shard: HeldShard, wish: Wish) -> None:
         """Order a load until a report shows it, the shard is lost or the bound has passed."""
         ends_at = self._clock.monotonic() + MAX_LOAD_SECONDS
         repeat_at = float("-inf")
         while self._clock.monotonic() < ends_at:
             spec = self._blackboard.configuration.upstreams_by_id.get(wish.upstream)
-            if spec is None or not self.shards.may_send(shard):
+            if spec is None or not self.shards.can_send(shard):
                 return
             if self._clock.monotonic() >= repeat_at:
-                repeat_at = self._clock.monotonic() + REPEAT_SECONDS
+                repeat_at = self._clock.monotonic() + LOAD_REPEAT_INTERVAL_SECONDS
                 if not await self.engines.load(shard, spec, wish.model):
                     return
-            await self._clock.sleep(LOAD_CHECK_SECONDS)
+            await self._clock.sleep(LOAD_CHECK_INTERVAL_SECONDS)
             record = await self.engines.observe(spec)
             if not record.usable or wish.model in record.loaded:
                 return
 
-    async def _order(self, shard: HeldShard, spec: UpstreamSpec) -> None:
+    async def _send_other_orders(self, shard: HeldShard, spec: UpstreamSpec) -> None:
         """Give the orders other than loads."""
         engine = self._fleet_engines.get(spec.id)
         if engine is None or not engine.usable:
             return
-        await self.engines.assert_role(shard, spec)
-        if self._clock.monotonic() < shard.since + TAKEOVER_SECONDS:
+        await self.engines.order_role(shard, spec)
+        if self._clock.monotonic() < shard.since + TAKEOVER_DELAY_SECONDS:
             return
-        unwanted = self._unwanted(engine)
-        if unwanted is not None and self.engines.is_settled(spec.id):
-            await self.engines.unload(shard, spec, unwanted)
+        model_to_unload = self._next_model_to_unload(engine)
+        if model_to_unload is not None and self.engines.is_report_current(spec.id):
+            await self.engines.unload(shard, spec, model_to_unload)
 
-    def _unwanted(self, engine: EngineRecord) -> ModelRef | None:
+    def _next_model_to_unload(self, engine: EngineRecord) -> ModelRef | None:
         """Return a model that an engine should unload now, or None."""
         wanted = wanted_models(self._blackboard.configuration)
         since_by_model = self.engines.state(engine.upstream).detached_since
@@ -209,7 +211,7 @@
         for model in since_by_model.keys() - set(detached):
             del since_by_model[model]
         for model in detached:
-            if now >= since_by_model.setdefault(model, now) + DETACHED_SECONDS:
+            if now >= since_by_model.setdefault(model, now) + DETACHED_MODEL_RETENTION_SECONDS:
                 return model
         fleet = list(self._fleet_engines.values())
         return eviction(engine, wanted, self._fleet_demand, fleet)
--- a/packages/quinceferry-daemon/src/quinceferryd/server.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/server.py
@@ -18,7 +18,7 @@
 from quinceferryd.bodies import BodyMemory
 from quinceferryd.caller_api import CallerApi, caller_routes
 from quinceferryd.interfaces import RouterApplication
-from quinceferryd.keys import opens
+from quinceferryd.keys import matches_key
 from quinceferryd.logs import log_bug
 from quinceferryd.peer_api import PeerApi, peer_routes
 from quinceferryd.refusals import error_document, error_headers, error_status, refusal
@@ -186,7 +186,7 @@
     """
     application = request.app.state.application
     authorization = request.headers.get("authorization", "")
-    if not opens(authorization, application.settings.router.operator_key):
+    if not matches_key(authorization, application.settings.router.operator_key):
         return _error_response(
             refusal(RefusalReason.UNAUTHENTICATED, "the operators' key is wrong")
         )
--- a/packages/quinceferry-daemon/src/quinceferryd/vms.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/vms.py
@@ -45,13 +45,13 @@
         self._max_lag_seconds = max_lag_seconds
         self._tracked_vms: set[VmId] = set()
         self._absences_by_vm: dict[VmId, VmAbsence] = {}
-        self._listed_seen_at_by_incarnation: dict[IncarnationId, float] = {}
+        self._observed_since_by_incarnation: dict[IncarnationId, float] = {}
         self._listed_upstreams: set[UpstreamId] = set()
         self.failures = 0
 
     async def start(self) -> None:
         """Start polling."""
-        self.spawn(self._run(), "vm-list")
+        self.spawn(self._poll_forever(), "vm-list")
 
     async def poll(self) -> bool:
         """Read the list once; return whether an answer came."""
@@ -63,7 +63,7 @@
             return False
         self._blackboard.vms_by_id = {record.vm: record for record in records}
         self._track_absences(requested_at)
-        self._mark_leaving_upstreams()
+        self._update_leaving_upstreams()
         return True
 
     def is_terminated(self, record: IncarnationRecord) -> bool:
@@ -76,18 +76,18 @@
         if not record.vm_listed:
             return False
         now = self._clock.monotonic()
-        seen_at = self._listed_seen_at_by_incarnation.setdefault(record.incarnation, now)
+        observed_since = self._observed_since_by_incarnation.setdefault(record.incarnation, now)
         self._tracked_vms.add(record.vm)
         absence = self._absences_by_vm.get(record.vm)
-        return vm_is_gone(record, seen_at, absence, self._max_lag_seconds)
+        return vm_is_gone(record, observed_since, absence, self._max_lag_seconds)
 
     def remove_observations(self, record: IncarnationRecord) -> None:
         """Drop the observations of an incarnation whose record has been deleted."""
-        self._listed_seen_at_by_incarnation.pop(record.incarnation, None)
+        self._observed_since_by_incarnation.pop(record.incarnation, None)
         self._tracked_vms.discard(record.vm)
         self._absences_by_vm.pop(record.vm, None)
 
-    async def _run(self) -> None:
+    async def _poll_forever(self) -> None:
         while True:
             await self.poll()
             spread = self._rng.uniform(1.0 - _JITTER, 1.0 + _JITTER)
@@ -103,7 +103,7 @@
                 absence.first_read_at, read_at, absence.readings + 1
             )
 
-    def _mark_leaving_upstreams(self) -> None:
+    def _update_leaving_upstreams(self) -> None:
         for upstream_id, spec in self._blackboard.configuration.upstreams_by_id.items():
             record = self._blackboard.vms_by_id.get(spec.vm)
             if record is not None:
