--- a/packages/quinceferry-daemon/src/quinceferryd/heartbeats.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/heartbeats.py
@@ -91,7 +91,7 @@
         if self._written != self.member:
             await self._write_under_lease(self.lease)
 
-    async def revoke_lease(self) -> None:
+    async def end_lease(self) -> None:
         """End the lease, and the record with it."""
         if self.lease:
             await self._kv.revoke_lease(self.lease)
--- a/packages/quinceferry-daemon/src/quinceferryd/membership.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/membership.py
@@ -178,7 +178,7 @@
             await self._incarnation.update(left=True)
         except FencedError:
             return
-        await self._heartbeat.revoke_lease()
+        await self._heartbeat.end_lease()
 
     async def heartbeat(self) -> None:
         """Renew the lease once; after its loss, find out whether this incarnation was closed.
