--- a/features/fixtures_edge.py
+++ b/features/fixtures_edge.py
@@ -84,7 +84,7 @@
 
 
 class FakeTickets:
-    def read(self, text):
+    def verify(self, text):
         owner, _, _ = text.removeprefix("ticket-of-").partition(".")
         if not text.startswith("ticket-of-"):
             return Failure("not a ticket")
--- a/features/fixtures_model_core.py
+++ b/features/fixtures_model_core.py
@@ -15,10 +15,10 @@
 from quinceferry_core.budgets import (
     Allotment,
     BudgetRecord,
-    close,
-    forget_top_up,
-    resize,
-    retire,
+    close_allotment,
+    remove_pending_top_up,
+    resize_allotment,
+    retire_allotment,
     top_up,
 )
 from quinceferry_core.journals import Begin, Settle, Slot, unique_bills
@@ -122,7 +122,7 @@
         request = self._reserve(holder, reserved)
         if request is None:
             return
-        use = holder.ledger.enter_unrecorded(reserved)
+        use = holder.ledger.add_unrecorded(reserved)
         if use is None:
             holder.ledger.settle(request, 0)
             return
@@ -137,7 +137,7 @@
             if attempt.use is not None and not attempt.settled:
                 attempt.settled = True
                 used = holder.ledger.settle(request, attempt.run)
-                holder.ledger.change_unrecorded(attempt.use, used)
+                holder.ledger.lower_unrecorded(attempt.use, used)
                 return
 
     @precondition(lambda self: any(a.use for a in self._attempts()))
@@ -152,7 +152,7 @@
             if attempt.settled:
                 holder.append(Settle(WORKSPACE, request, attempt.run, True, name))
                 del holder.attempts_by_request[request]
-            holder.ledger.change_unrecorded(attempt.use, 0)
+            holder.ledger.lower_unrecorded(attempt.use, 0)
             attempt.use = None
 
     @precondition(lambda self: any(not a.use for a in self._attempts()))
@@ -187,7 +187,7 @@
         state = holder.read()
         kept = state.spent_by_workspace.get(WORKSPACE, 0) + state.reserved_unsettled(WORKSPACE)
         outage = held.outage_tokens if self.keeps_outage_tokens else 0
-        self._replace(close(self.record, name, kept + outage))
+        self._replace(close_allotment(self.record, name, kept + outage))
         closed = self.record.allotments_by_incarnation[name]
         assert closed.closed and closed.drawn <= held.drawn, "a closed allotment can grow"
 
@@ -204,7 +204,7 @@
         unsettled = {key.request for key in state.begins_by_request}
         told = sum(holder.attempts_by_request[request].run for request in unsettled)
         spent = state.spent_by_workspace.get(WORKSPACE, 0) + told
-        self._replace(retire(self.record, name, spent, held.outage_tokens))
+        self._replace(retire_allotment(self.record, name, spent, held.outage_tokens))
 
     @rule(operation=operations, marks=st.booleans())
     def grant_top_up(self, operation: str, marks: bool) -> None:
@@ -215,7 +215,7 @@
         self._replace(top_up(self.record, operation, TOP_UP))
         if marks:
             self.marked_operations.add(operation)
-            self._replace(forget_top_up(self.record, operation))
+            self._replace(remove_pending_top_up(self.record, operation))
 
     @invariant()
     def tokens_run_stay_within_grant(self) -> None:
@@ -272,7 +272,7 @@
         ledger = holder.ledger
         outage = max(ledger.unrecorded, min(outage, drawn - ledger.spent))
         wanted = Allotment(drawn, ledger.spent, outage, holder.sequence + 1)
-        changed = resize(self.record, holder.name, wanted)
+        changed = resize_allotment(self.record, holder.name, wanted)
         if isinstance(changed, Failure):
             return
         holder.sequence += 1
--- a/features/fixtures_operators.py
+++ b/features/fixtures_operators.py
@@ -39,13 +39,13 @@
         """Apply a change at once, judged by the real rules."""
         if self.kv_out:
             raise KvUnavailableError("no answer", step="kv.list", peer="kv")
-        earlier = self.state.earlier_answer(operation_id, fingerprint)
+        earlier = self.state.previous_result(operation_id, fingerprint)
         if earlier is not None:
             return earlier.map(_accepted)
         built = change(self.state.configuration)
         if isinstance(built, Failure):
-            return Failure(self.state.refuse(built.failure()))
-        conflict = self.state.check(built.unwrap(), expected_revision)
+            return Failure(self.state.rejection(built.failure()))
+        conflict = self.state.find_conflict(built.unwrap(), expected_revision)
         if conflict:
             return Failure(conflict)
         revision = self.state.revision + 1
@@ -100,11 +100,11 @@
         """Grant tokens."""
         record = top_up(self._record(workspace), operation, tokens)
         self.records_by_workspace[workspace] = record
-        return Success(Balance.of(record))
+        return Success(Balance.from_record(record))
 
     async def balance(self, workspace):
         """Read a balance."""
-        return Balance.of(self._record(workspace))
+        return Balance.from_record(self._record(workspace))
 
     async def bills(self, workspace, cursor=""):
         """Read no bills."""
--- a/features/fixtures_routers.py
+++ b/features/fixtures_routers.py
@@ -167,7 +167,7 @@
         own = self.applications_by_name[home].blackboard.identity.incarnation
         member = application.blackboard.members_by_incarnation[own]
         text = application._issue_ticket(WORKSPACE, member)
-        return application.tickets.read(text).unwrap()
+        return application.tickets.verify(text).unwrap()
 
     def request(self, name, **fields):
         """Return a caller's request."""
--- a/features/steps/admission.py
+++ b/features/steps/admission.py
@@ -8,7 +8,7 @@
 
 from quinceferry_core.models import Priority, WorkspaceId
 from quinceferry_core.outcomes import NotRun, NotRunProof
-from quinceferry_core.queues import FairQueue, Waiting
+from quinceferry_core.queues import FairQueue, QueueEntry
 from quinceferry_core.retries import BURST_RETRIES, RetryBudget
 from quinceferry_lab.virtual_time import VirtualClock, run_virtual
 from quinceferryd.admission import Admission, Admitted
@@ -128,7 +128,7 @@
 
 
 def _waiting(workspace, tokens, deadline, priority=Priority.NORMAL):
-    return Waiting(None, WorkspaceId(workspace), priority, tokens, float(deadline), 0.0)
+    return QueueEntry(None, WorkspaceId(workspace), priority, tokens, float(deadline), 0.0)
 
 
 @given("a lone engine with all slots taken and one caller waiting")
@@ -173,7 +173,7 @@
 def build_budget(context):
     context.budget = RetryBudget(0.2)
     for _ in range(int(BURST_RETRIES)):
-        assert context.budget.spend()
+        assert context.budget.try_withdraw()
 
 
 @when("a request with a deadline of {seconds:d} second arrives")
@@ -230,8 +230,8 @@
 
 
 def _depart(queue):
-    (waiting,) = queue.scan(1)
-    queue.take(waiting)
+    (waiting,) = queue.peek(1)
+    queue.dispatch(waiting)
     return waiting
 
 
@@ -244,7 +244,7 @@
 @when("{count:d} requests are counted")
 def count_requests(context, count):
     for _ in range(count):
-        context.budget.earn()
+        context.budget.deposit()
 
 
 @then("it is refused with {reason} without any delay")
@@ -303,4 +303,4 @@
 
 @then("{count:d} retries are allowed and the fifth is denied")
 def check_budget(context, count):
-    assert [context.budget.spend() for _ in range(count + 1)] == [True] * count + [False]
+    assert [context.budget.try_withdraw() for _ in range(count + 1)] == [True] * count + [False]
--- a/features/steps/budgets.py
+++ b/features/steps/budgets.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Success
 
 from features.fixtures_budgets import SMALL_DRAWS, WORKSPACE, Bench
-from quinceferry_core.budgets import Allotment, budget_key, close
+from quinceferry_core.budgets import Allotment, budget_key, close_allotment
 from quinceferry_core.exceptions import FencedError
 from quinceferry_core.models import IncarnationId
 from quinceferry_lab.virtual_time import run_virtual
@@ -161,11 +161,11 @@
 
 
 @when("the router's allotment is closed")
-def close_allotment(context):
+def close_allotment_of_router(context):
     async def act(bench):
         connection = bench.connect("operator")
         entry = await connection.get(budget_key(WORKSPACE))
-        closed = close(decode_budget(WORKSPACE, entry), IncarnationId("r1"), 50)
+        closed = close_allotment(decode_budget(WORKSPACE, entry), IncarnationId("r1"), 50)
         await connection.put_if(entry.key, msgspec.json.encode(closed), entry.version)
 
     context.scene.acts.append(act)
--- a/features/steps/limits.py
+++ b/features/steps/limits.py
@@ -7,7 +7,7 @@
 from fixtures_routing import request
 
 from quinceferry_core.addresses import home_members
-from quinceferry_core.limits import ClaimedPart
+from quinceferry_core.limits import ClaimedShare
 from quinceferry_core.membership import Member
 from quinceferry_core.models import Configuration, Limits, WorkspaceSpec
 from quinceferry_core.outcomes import NotRun
@@ -28,12 +28,12 @@
 
 @given("the routers use their claims without reading them back")
 def break_guard(context):
-    class Unguarded(ClaimedPart):
+    class Unguarded(ClaimedShare):
         """Uses what it claims at once."""
 
-        def propose(self, target, claimed_by_others, whole, goes_first):
-            super().propose(target, claimed_by_others, whole, goes_first)
-            self.in_use = self.wanted
+        def update_claim(self, target, claimed_by_others, total, has_precedence):
+            super().update_claim(target, claimed_by_others, total, has_precedence)
+            self.in_use = self.next_claim
 
     for router in context.fleet.routers:
         router.shares.update()
--- a/features/steps/membership.py
+++ b/features/steps/membership.py
@@ -271,7 +271,7 @@
     first = context.first_incarnations_by_vm[vm]
     records = context.fleet.run(context.fleet.read_records())
     subject = next(record for record in records if record.incarnation == first)
-    return absence_proof(subject, tuple(records), vm_gone=False)
+    return absence_proof(subject, tuple(records), vm_terminated=False)
 
 
 @then('the earlier incarnation of "{vm}" is not proven absent')
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -11,7 +11,7 @@
 from quinceferry_core.changes import PutUpstream, PutWorkspace
 from quinceferry_core.exceptions import KvError
 from quinceferry_core.models import ModelRef, UpstreamSpec, WorkspaceSpec
-from quinceferry_core.orders import wanted_models
+from quinceferry_core.orders import attached_models
 
 ASK_SECONDS = 0.5
 
@@ -96,7 +96,7 @@
         rng = random.Random(1)
         for _ in range(int(seconds / ASK_SECONDS)):
             router = rng.choice(list(context.fleet.routers_by_vm.values()))
-            router.demand.note(ModelRef.parse(rng.choice(models)))
+            router.demand.record_request(ModelRef.parse(rng.choice(models)))
             await context.fleet.clock.sleep(ASK_SECONDS)
 
     context.fleet.run(ask())
@@ -348,7 +348,7 @@
 @then("every engine has what the newest configuration asks for")
 def check_desired(context):
     router = next(iter(context.fleet.routers_by_vm.values()))
-    wanted = {str(model) for model in wanted_models(router.blackboard.configuration)}
+    wanted = {str(model) for model in attached_models(router.blackboard.configuration)}
     loaded = set().union(*(context.fleet.loaded(u) for u in context.fleet.engines_by_id))
     assert wanted, "no change was made"
     assert loaded == wanted, (loaded, wanted)
--- a/features/steps/prefill.py
+++ b/features/steps/prefill.py
@@ -12,7 +12,7 @@
 from quinceferry_core.adapters import LoadReport
 from quinceferry_core.models import Priority, UpstreamId, WorkspaceId
 from quinceferry_core.outcomes import Chunk, Failed
-from quinceferry_core.queues import Waiting
+from quinceferry_core.queues import QueueEntry
 from quinceferry_lab.virtual_time import VirtualClock
 from quinceferry_standins.engine_settings import EngineSettings
 from quinceferryd.target_queues import TargetQueue
@@ -108,7 +108,7 @@
 def build_pool(context, count, seconds):
     context.pool, context.now = TargetQueue(256, 0.5), float(seconds)
     for number in range(count):
-        waiting = Waiting(number, WorkspaceId("choir"), Priority.NORMAL, 1, 60.0, 0.0)
+        waiting = QueueEntry(number, WorkspaceId("choir"), Priority.NORMAL, 1, 60.0, 0.0)
         context.pool.push(waiting, 0.0)
 
 
--- a/features/steps/quarantine.py
+++ b/features/steps/quarantine.py
@@ -6,9 +6,9 @@
 from behave import given, then, when
 
 from quinceferry_core.quarantine import (
+    EVIDENCE_DELAY_SECONDS,
+    MAX_CONTENTS_PER_CRASH,
     MAX_CRASHES,
-    MAX_RUNS_OF_CRASH,
-    SETTLE_SECONDS,
     Quarantine,
     RunStage,
 )
@@ -39,13 +39,13 @@
         """Note one content at a crash."""
         if lifetime not in self.unsettled:
             self.unsettled.append(lifetime)
-        return self.quarantine.crashed(lifetime, content, stage, self.now)
+        return self.quarantine.record_crash(lifetime, content, stage, self.now)
 
     def settle(self):
         """Let the time pass in which evidence comes."""
-        self.now += SETTLE_SECONDS
+        self.now += EVIDENCE_DELAY_SECONDS
         for lifetime in self.unsettled:
-            self.quarantine.settle(lifetime, self.now)
+            self.quarantine.evaluate_crash(lifetime, self.now)
         self.unsettled.clear()
 
 
@@ -68,7 +68,7 @@
 
 @when("content {content} is answered")
 def when_answered(context, content):
-    context.scene.quarantine.completed(content, context.scene.now)
+    context.scene.quarantine.record_completion(content, context.scene.now)
 
 
 @when("{seconds:d} seconds pass in quarantine")
@@ -78,7 +78,7 @@
 
 @when("another router holds {content} for {seconds:d} more seconds")
 def when_other_holds(context, content, seconds):
-    context.scene.quarantine.hold(content, float(seconds), context.scene.now)
+    context.scene.quarantine.adopt(content, float(seconds), context.scene.now)
 
 
 @then("held are {contents}")
@@ -86,16 +86,16 @@
     scene = context.scene
     scene.settle()
     expected = [] if contents == "nothing" else contents.split(", ")
-    held = scene.quarantine.held(scene.now)
+    held = scene.quarantine.remaining_seconds_by_content(scene.now)
     assert sorted(held) == expected, held
-    assert [key for key in expected if not scene.quarantine.held_seconds(key, scene.now)] == []
+    assert [key for key in expected if not scene.quarantine.remaining_seconds(key, scene.now)] == []
 
 
 @then("it lasts {seconds:d} seconds")
 def then_lasts(context, seconds):
     scene = context.scene
-    (left,) = scene.quarantine.held(scene.now).values()
-    assert left == seconds - SETTLE_SECONDS, left
+    (left,) = scene.quarantine.remaining_seconds_by_content(scene.now).values()
+    assert left == seconds - EVIDENCE_DELAY_SECONDS, left
 
 
 @then("{count:d} orders of the same evidence, some of it twice, come to the same conclusion")
@@ -109,10 +109,12 @@
     for _ in range(count):
         quarantine = Quarantine(3, HOLD_SECONDS)
         for item in draws.sample(evidence, len(evidence)) + draws.sample(evidence, 10):
-            quarantine.crashed(*item, 0.0)
+            quarantine.record_crash(*item, 0.0)
         for lifetime, _, _ in evidence:
-            quarantine.settle(lifetime, SETTLE_SECONDS)
-        conclusions.add(tuple(sorted(quarantine.held(SETTLE_SECONDS))))
+            quarantine.evaluate_crash(lifetime, EVIDENCE_DELAY_SECONDS)
+        conclusions.add(
+            tuple(sorted(quarantine.remaining_seconds_by_content(EVIDENCE_DELAY_SECONDS)))
+        )
     assert len(conclusions) == 1 and any(conclusions), conclusions
 
 
@@ -153,7 +155,7 @@
         for number, runs in enumerate(self.runs):
             done = [run for run in runs if run[2] <= self.scene.now]
             for content, _, _ in done:
-                self.scene.quarantine.completed(content, self.scene.now)
+                self.scene.quarantine.record_completion(content, self.scene.now)
             self.runs[number] = [run for run in runs if run[2] > self.scene.now]
             self.fill(number)
 
@@ -186,7 +188,10 @@
 def when_culprit(context, count, slots, seed):
     engines = Engines(context.scene, count, slots, seed)
     context.crashes = 0
-    while not context.scene.quarantine.held(context.scene.now) and context.crashes < 20:
+    while (
+        not context.scene.quarantine.remaining_seconds_by_content(context.scene.now)
+        and context.crashes < 20
+    ):
         engines.advance(CRASH_PAUSE_SECONDS)
         engines.crash(context.crashes % count, "culprit")
         context.crashes += 1
@@ -194,7 +199,7 @@
 
 @then("held is the culprit alone, after {crashes:d} crashes")
 def then_culprit(context, crashes):
-    held = context.scene.quarantine.held(context.scene.now)
+    held = context.scene.quarantine.remaining_seconds_by_content(context.scene.now)
     assert list(held) == ["culprit"] and context.crashes == crashes, (held, context.crashes)
 
 
@@ -218,8 +223,8 @@
 
 @then("at most {crashes:d} crashes of {contents:d} contents are remembered")
 def then_bounded(context, crashes, contents):
-    assert (crashes, contents) == (MAX_CRASHES, MAX_RUNS_OF_CRASH)
+    assert (crashes, contents) == (MAX_CRASHES, MAX_CONTENTS_PER_CRASH)
     quarantine = context.scene.quarantine
-    found = {number for number in range(300) if quarantine.suspected(f"{number}-0")}
+    found = {number for number in range(300) if quarantine.is_suspected(f"{number}-0")}
     assert found == set(range(300 - crashes, 300)), len(found)
-    assert not quarantine.suspected(f"299-{contents}")
+    assert not quarantine.is_suspected(f"299-{contents}")
--- a/features/steps/shutdown.py
+++ b/features/steps/shutdown.py
@@ -47,7 +47,7 @@
 def check_left(context, vm):
     records = context.fleet.run(context.fleet.read_records())
     record = next(record for record in records if record.vm == vm)
-    assert absence_proof(record, tuple(records), vm_gone=False) is AbsenceProof.LEFT
+    assert absence_proof(record, tuple(records), vm_terminated=False) is AbsenceProof.LEFT
 
 
 @when('an operator at "{at}" drains "{vm}"')
--- a/packages/quinceferry-cli/src/quinceferry/addresses.py
+++ b/packages/quinceferry-cli/src/quinceferry/addresses.py
@@ -29,7 +29,7 @@
     ticket: str = ""
 
 
-class AddressBook:
+class AddressCache:
     """Caches the address answer of one workspace.
 
     :param http: connections, with the workspace's key in their headers.
@@ -51,11 +51,11 @@
         self._routers = [base_url(router) for router in routers]
         self._clock = clock
         self._generator = generator
-        self._parameters = {"zone": zone} if zone else {}
+        self._query = {"zone": zone} if zone else {}
         self._answer: AddressAnswer | None = None
         self._expires_at = 0.0
 
-    async def read(self) -> AddressAnswer:
+    async def get(self) -> AddressAnswer:
         """Return the cached answer, or ask for a new one when it is stale.
 
         :raises RefusedError: the key is wrong.
@@ -63,23 +63,23 @@
         """
         now = self._clock.monotonic()
         if self._answer is None or now >= self._expires_at:
-            self._answer = await self._ask()
+            self._answer = await self._fetch()
             self._expires_at = now + self._answer.ttl_seconds
         return self._answer
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Ask again at the next read, because the addresses in the answer failed."""
         self._expires_at = 0.0
 
-    async def _ask(self) -> AddressAnswer:
+    async def _fetch(self) -> AddressAnswer:
         """Ask routers in turn until one answers; those of the last answer are asked too."""
-        known = self._answer.addresses if self._answer else []
-        routers = list(dict.fromkeys([*self._routers, *map(base_url, known)]))
+        last_addresses = self._answer.addresses if self._answer else []
+        routers = list(dict.fromkeys([*self._routers, *map(base_url, last_addresses)]))
         self._generator.shuffle(routers)
         failure: RouterUnreachableError | RefusedError | None = None
         for router in routers:
             try:
-                return await self._ask_one(router)
+                return await self._fetch_from(router)
             except RouterUnreachableError as error:
                 failure = error
             except RefusedError as error:
@@ -88,12 +88,12 @@
                 failure = error
         raise failure or RouterUnreachableError("no router is known", step="address")
 
-    async def _ask_one(self, router: str) -> AddressAnswer:
+    async def _fetch_from(self, router: str) -> AddressAnswer:
         """Ask one router."""
         url = f"{router}{ADDRESS_PATH}"
         try:
             response = await self._http.get(
-                url, params=self._parameters, timeout=ADDRESS_TIMEOUT_SECONDS
+                url, params=self._query, timeout=ADDRESS_TIMEOUT_SECONDS
             )
         except httpx.TransportError as error:
             detail = f"no answer: {type(error).__name__} {error}"
--- a/packages/quinceferry-cli/src/quinceferry/attempts.py
+++ b/packages/quinceferry-cli/src/quinceferry/attempts.py
@@ -7,7 +7,7 @@
 
 import httpx
 
-from quinceferry.addresses import AddressAnswer, AddressBook, base_url
+from quinceferry.addresses import AddressAnswer, AddressCache, base_url
 from quinceferry.exceptions import (
     AnswerBrokenError,
     OutcomeUnknownError,
@@ -23,7 +23,7 @@
 NON_IDEMPOTENT_HEADER = "X-Quinceferry-Non-Idempotent"
 PRIORITY_HEADER = "X-Quinceferry-Priority"
 
-JOURNAL_CLOSED = "journal_closed_without_it"
+JOURNAL_CLOSED_PROOF = "journal_closed_without_it"
 """Proof that the home of a request has not run it and never will."""
 
 FailureHook = Callable[[RequestError], None]
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallerCall:
+class PreparedCall:
     """One request as it is sent, whatever the attempt."""
 
     method: str
@@ -42,7 +42,7 @@
     headers: Mapping[str, str] = field(default_factory=dict)
 
 
-class Attempts:
+class RetrySequence:
     """Decides where each attempt of one call goes and whether another may follow.
 
     While an attempt may have begun, its ticket stays with the request: a later one might name
@@ -51,7 +51,7 @@
     of a home proves that none of the attempts there ran.
 
     :param call: the call.
-    :param book: address answers.
+    :param address_cache: address answers.
     :param policy: number of attempts and delays.
     :param clock: waits between attempts.
     :param generator: source of jitter.
@@ -60,8 +60,8 @@
 
     def __init__(
         self,
-        call: CallerCall,
-        book: AddressBook,
+        call: PreparedCall,
+        address_cache: AddressCache,
         policy: RetryPolicy,
         clock: Clock,
         generator: random.Random,
@@ -69,21 +69,21 @@
     ) -> None:
         self._call = call
         self._on_failure = on_failure
-        self._book = book
+        self._address_cache = address_cache
         self._policy = policy
         self._clock = clock
         self._generator = generator
         self._ticket: str | None = None
         self._may_have_begun = False
-        self.made = 0
+        self.attempts_made = 0
 
     async def next_request(self, http: httpx.AsyncClient) -> httpx.Request:
         """Build the next attempt."""
-        answer = await self._addresses()
+        answer = await self._read_addresses()
         if self._ticket is None:
             self._ticket = answer.ticket
-        address = answer.addresses[self.made % len(answer.addresses)]
-        self.made += 1
+        address = answer.addresses[self.attempts_made % len(answer.addresses)]
+        self.attempts_made += 1
         return http.build_request(
             self._call.method,
             f"{base_url(address)}{self._call.path}",
@@ -91,7 +91,7 @@
             headers=self._headers(),
         )
 
-    async def after(self, error: RequestError) -> None:
+    async def wait_or_raise(self, error: RequestError) -> None:
         """Wait before another attempt, or raise when none may follow.
 
         :param error: how the last attempt failed.
@@ -99,37 +99,39 @@
         if self._on_failure is not None:
             self._on_failure(error)
         if isinstance(error, RouterUnreachableError | AnswerBrokenError):
-            self._book.forget()
-        if isinstance(error, RefusedError) and error.proof == JOURNAL_CLOSED:
+            self._address_cache.invalidate()
+        if isinstance(error, RefusedError) and error.proof == JOURNAL_CLOSED_PROOF:
             self._may_have_begun = False
         self._may_have_begun |= _may_have_begun(error)
         if isinstance(error, RefusedError) and not self._may_have_begun:
-            self._take_new_ticket()
+            self._discard_ticket()
         retry_after = _retry_after_seconds(error)
-        if retry_after is None or self.made >= self._policy.max_attempts:
-            raise self._final(error)
-        delay = self._policy.delay_seconds(self.made, retry_after, self._generator)
+        if retry_after is None or self.attempts_made >= self._policy.max_attempts:
+            raise self._final_error(error)
+        delay = self._policy.delay_seconds(self.attempts_made, retry_after, self._generator)
         await self._clock.sleep(delay)
 
-    async def _addresses(self) -> AddressAnswer:
+    async def _read_addresses(self) -> AddressAnswer:
         """Read the addresses; routers that can't be reached are asked again."""
         while True:
             try:
-                answer = await self._book.read()
+                answer = await self._address_cache.get()
             except (RouterUnreachableError, RefusedError) as error:
-                self.made += 1
-                await self.after(error)
+                self.attempts_made += 1
+                await self.wait_or_raise(error)
                 continue
             if answer.addresses:
                 return answer
-            self._book.forget()
-            self.made += 1
-            await self.after(RouterUnreachableError("no router takes requests", step="address"))
+            self._address_cache.invalidate()
+            self.attempts_made += 1
+            await self.wait_or_raise(
+                RouterUnreachableError("no router takes requests", step="address")
+            )
 
-    def _take_new_ticket(self) -> None:
+    def _discard_ticket(self) -> None:
         """Have the next attempt of a non-idempotent request ask for addresses again."""
         if not self._call.idempotent:
-            self._book.forget()
+            self._address_cache.invalidate()
             self._ticket = None
 
     def _headers(self) -> dict[str, str]:
@@ -140,7 +142,7 @@
             headers[TICKET_HEADER] = self._ticket
         return headers
 
-    def _final(self, error: RequestError) -> RequestError:
+    def _final_error(self, error: RequestError) -> RequestError:
         """Return what the caller is told; silence after a send never becomes "not run"."""
         if isinstance(error, RefusedError) or self._call.idempotent or not self._may_have_begun:
             return error
--- a/packages/quinceferry-cli/src/quinceferry/client.py
+++ b/packages/quinceferry-cli/src/quinceferry/client.py
@@ -7,9 +7,9 @@
 import httpx
 import msgspec
 
-from quinceferry.addresses import AddressAnswer, AddressBook
-from quinceferry.attempts import PRIORITY_HEADER, Attempts, CallerCall, FailureHook
-from quinceferry.events import Piece, Splice, Usage, read_piece, read_pieces
+from quinceferry.addresses import AddressAnswer, AddressCache
+from quinceferry.attempts import PRIORITY_HEADER, FailureHook, PreparedCall, RetrySequence
+from quinceferry.events import Piece, StreamDeduplicator, Usage, read_piece, read_pieces
 from quinceferry.exceptions import AnswerBrokenError, RequestError, RouterUnreachableError
 from quinceferry.refusals import is_refusal, read_refusal
 from quinceferry.retries import RetryPolicy
@@ -77,11 +77,11 @@
         )
         super().__init__(http, policy=policy, clock=clock, generator=generator)
         self._on_failed_attempt = on_failed_attempt
-        self._book = AddressBook(self._http, routers, self._clock, self._generator, zone)
+        self._address_cache = AddressCache(self._http, routers, self._clock, self._generator, zone)
 
     async def addresses(self) -> AddressAnswer:
         """Return which addresses to use; cached for as long as the answer holds."""
-        return await self._book.read()
+        return await self._address_cache.get()
 
     async def ask(self, model: str, prompt: str, **options: Any) -> Answer:
         """Ask a model and return its whole answer.
@@ -112,20 +112,20 @@
         :raises AnswerBrokenError: a repeated answer does not begin with the text returned before.
         """
         call = model_call(model, prompt, stream=True, **options)
-        attempts = self._attempts(call)
-        splice = Splice()
+        attempts = self._new_attempts(call)
+        deduplicator = StreamDeduplicator()
         while True:
-            splice.begin()
+            deduplicator.restart()
             try:
                 async for piece in self._pieces(attempts):
-                    fresh = splice.take(piece)
-                    if fresh is None:
+                    new_piece = deduplicator.new_part(piece)
+                    if new_piece is None:
                         break
-                    yield fresh
+                    yield new_piece
                 else:
                     return
             except RequestError as error:
-                await attempts.after(error)
+                await attempts.wait_or_raise(error)
                 continue
             raise AnswerBrokenError("a repeated answer differs from its first part", step="stream")
 
@@ -148,46 +148,48 @@
         :return: the service's own answer, whatever its status.
         :raises OutcomeUnknownError: a non-idempotent call may or may not have run.
         """
-        named = {"request_id": request_id} if request_id else {}
-        call = CallerCall(
+        request_id_option = {"request_id": request_id} if request_id else {}
+        call = PreparedCall(
             method,
             f"{SERVICE_PATH}/{service}{path}",
             body,
             idempotent=idempotent,
             headers={"Content-Type": content_type},
-            **named,
+            **request_id_option,
         )
         response = await self._send(call)
-        kind = response.headers.get("content-type", "")
-        return ServiceAnswer(call.request_id, response.status_code, kind, response.content)
+        response_content_type = response.headers.get("content-type", "")
+        return ServiceAnswer(
+            call.request_id, response.status_code, response_content_type, response.content
+        )
 
-    async def _send(self, call: CallerCall) -> httpx.Response:
+    async def _send(self, call: PreparedCall) -> httpx.Response:
         """Send a call until it has a whole answer."""
-        attempts = self._attempts(call)
+        attempts = self._new_attempts(call)
         while True:
             request = await attempts.next_request(self._http)
             try:
                 return await self._send_once(request)
             except RequestError as error:
-                await attempts.after(error)
+                await attempts.wait_or_raise(error)
 
     async def _send_once(self, request: httpx.Request) -> httpx.Response:
         """Send one attempt."""
         try:
             response = await self._http.send(request)
         except httpx.TransportError as error:
-            raise _no_answer(request, error) from error
+            raise _no_answer_error(request, error) from error
         if is_refusal(response):
             raise read_refusal(response, response.content, step="send")
         return response
 
-    async def _pieces(self, attempts: Attempts) -> AsyncIterator[Piece]:
+    async def _pieces(self, attempts: RetrySequence) -> AsyncIterator[Piece]:
         """Send one attempt and return the pieces of its answer."""
         request = await attempts.next_request(self._http)
         try:
             response = await self._http.send(request, stream=True)
         except httpx.TransportError as error:
-            raise _no_answer(request, error) from error
+            raise _no_answer_error(request, error) from error
         try:
             if response.is_error:
                 raise read_refusal(response, await response.aread(), step="stream")
@@ -203,11 +205,11 @@
         finally:
             await response.aclose()
 
-    def _attempts(self, call: CallerCall) -> Attempts:
+    def _new_attempts(self, call: PreparedCall) -> RetrySequence:
         """Return the attempts of a new call."""
-        return Attempts(
+        return RetrySequence(
             call,
-            self._book,
+            self._address_cache,
             self._policy,
             self._clock,
             self._generator,
@@ -226,7 +228,7 @@
     priority: str = "",
     request_id: str = "",
     extra: dict[str, Any] | None = None,
-) -> CallerCall:
+) -> PreparedCall:
     """Return the call that asks a model.
 
     :param stream: whether the answer comes in pieces.
@@ -249,13 +251,15 @@
     headers = {"Content-Type": "application/json"}
     if priority:
         headers[PRIORITY_HEADER] = priority
-    named = {"request_id": request_id} if request_id else {}
+    request_id_option = {"request_id": request_id} if request_id else {}
     path = CHAT_PATH if chat else COMPLETION_PATH
     content = msgspec.json.encode(document)
-    return CallerCall("POST", path, content, idempotent=idempotent, headers=headers, **named)
+    return PreparedCall(
+        "POST", path, content, idempotent=idempotent, headers=headers, **request_id_option
+    )
 
 
-def _no_answer(request: httpx.Request, error: httpx.TransportError) -> RouterUnreachableError:
+def _no_answer_error(request: httpx.Request, error: httpx.TransportError) -> RouterUnreachableError:
     """Return the error of an attempt without an answer."""
     detail = f"no answer: {type(error).__name__} {error}"
     return RouterUnreachableError(detail, request=request, step="send")
--- a/packages/quinceferry-cli/src/quinceferry/configuration.py
+++ b/packages/quinceferry-cli/src/quinceferry/configuration.py
@@ -10,7 +10,7 @@
 DEFAULT_PATH = Path.home() / ".config" / "quinceferry" / "client.toml"
 """Read when no other file is named, if it exists."""
 
-_KEYS = frozenset({"routers", "operator_key", "workspace_key", "zone"})
+_ALLOWED_KEYS = frozenset({"routers", "operator_key", "workspace_key", "zone"})
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,20 +55,20 @@
         table = tomllib.loads(source.read_text())
     except (OSError, tomllib.TOMLDecodeError) as error:
         raise click.UsageError(f"{source}: {error}") from error
-    faults = [f"{source}: {key}: {reason}" for key, reason in _faults(table)]
-    if faults:
-        raise click.UsageError("\n".join(faults))
+    errors = [f"{source}: {key}: {reason}" for key, reason in _find_errors(table)]
+    if errors:
+        raise click.UsageError("\n".join(errors))
     return table
 
 
-def _faults(table: dict[str, Any]) -> list[tuple[str, str]]:
-    """Return all faults of a file, each with its key."""
-    faults = [(key, "unknown key") for key in table if key not in _KEYS]
-    for key in sorted(_KEYS & table.keys()):
+def _find_errors(table: dict[str, Any]) -> list[tuple[str, str]]:
+    """Return all errors of a file, each with its key."""
+    errors = [(key, "unknown key") for key in table if key not in _ALLOWED_KEYS]
+    for key in sorted(_ALLOWED_KEYS & table.keys()):
         value = table[key]
         if key == "routers":
             if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-                faults.append((key, "must be a list of texts"))
+                errors.append((key, "must be a list of texts"))
         elif not isinstance(value, str):
-            faults.append((key, "must be a text"))
-    return faults
+            errors.append((key, "must be a text"))
+    return errors
--- a/packages/quinceferry-cli/src/quinceferry/drains.py
+++ b/packages/quinceferry-cli/src/quinceferry/drains.py
@@ -8,9 +8,9 @@
 from quinceferry_core.operator_messages import Drain, GetStatus, ListRouters
 from quinceferry_core.operator_replies import DrainReply, ListRoutersReply, RouterReply
 
-POLL_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 """Time between two looks at the router."""
-LEFT = "left"
+STATE_LEFT = "left"
 """State of a router that has left the fleet."""
 
 
@@ -30,35 +30,35 @@
     :return: the last known state.
     :raises ChangePendingError: the router has not left in time.
     """
-    target = _find(await client.call(ListRouters()), router)
+    target = _find_router(await client.call(ListRouters()), router)
     incarnation = target.router if target else router
     reply: DrainReply = await client.change(Drain, router=incarnation, **options)
     if not timeout_seconds:
         return reply
-    waited = 0.0
-    shown = ""
-    while waited < timeout_seconds:
-        target = _find(await client.call(ListRouters()), incarnation)
+    waited_seconds = 0.0
+    last_line = ""
+    while waited_seconds < timeout_seconds:
+        target = _find_router(await client.call(ListRouters()), incarnation)
         if target is None:
-            return DrainReply(operation_id=reply.operation_id, router=incarnation, state=LEFT)
-        line = await _progress(client, target)
-        if line != shown:
+            return DrainReply(operation_id=reply.operation_id, router=incarnation, state=STATE_LEFT)
+        line = await _describe_progress(client, target)
+        if line != last_line:
             show(line)
-            shown = line
-        await client.pause(POLL_SECONDS)
-        waited += POLL_SECONDS
+            last_line = line
+        await client.pause(POLL_INTERVAL_SECONDS)
+        waited_seconds += POLL_INTERVAL_SECONDS
     raise ChangePendingError(f"{incarnation} has not left yet", (incarnation,))
 
 
-def _find(listed: ListRoutersReply, name: str) -> RouterReply | None:
+def _find_router(reply: ListRoutersReply, name: str) -> RouterReply | None:
     """Return the router of an incarnation or VM name."""
-    for router in listed.routers:
+    for router in reply.routers:
         if name in (router.router, router.vm):
             return router
     return None
 
 
-async def _progress(client: OperatorClient, target: RouterReply) -> str:
+async def _describe_progress(client: OperatorClient, target: RouterReply) -> str:
     """Describe how far a router's stop has come, by its own word if it still answers."""
     try:
         status = await client.call(GetStatus(), router=target.address, max_attempts=1)
--- a/packages/quinceferry-cli/src/quinceferry/events.py
+++ b/packages/quinceferry-cli/src/quinceferry/events.py
@@ -8,7 +8,7 @@
 from quinceferry.exceptions import AnswerBrokenError
 from quinceferry.refusals import read_refusal
 
-DONE = "[DONE]"
+DONE_DATA = "[DONE]"
 """Data of the event that ends a whole answer."""
 
 
@@ -32,7 +32,7 @@
     usage: Usage | None = None
 
 
-class Splice:
+class StreamDeduplicator:
     """Joins the pieces of repeated answers to one request, so that no text is returned twice."""
 
     __slots__ = ("_position", "_returned")
@@ -41,22 +41,22 @@
         self._returned = ""
         self._position = 0
 
-    def begin(self) -> None:
+    def restart(self) -> None:
         """Expect an answer from its beginning."""
         self._position = 0
 
-    def take(self, piece: Piece) -> Piece | None:
+    def new_part(self, piece: Piece) -> Piece | None:
         """Return what of a piece is new, or None when it differs from what was returned before.
 
         A piece without new text is returned for its finish reason and usage.
         """
-        known = self._returned[self._position : self._position + len(piece.text)]
-        if not piece.text.startswith(known):
+        already_returned = self._returned[self._position : self._position + len(piece.text)]
+        if not piece.text.startswith(already_returned):
             return None
-        fresh = piece.text[len(known) :]
+        new_text = piece.text[len(already_returned) :]
         self._position += len(piece.text)
-        self._returned += fresh
-        return Piece(fresh, piece.finish_reason, piece.usage)
+        self._returned += new_text
+        return Piece(new_text, piece.finish_reason, piece.usage)
 
 
 class _Message(msgspec.Struct):
@@ -112,11 +112,11 @@
                 event = value
             case "data" if event == "error":
                 raise read_refusal(response, value.encode(), step="stream")
-            case "data" if value == DONE:
+            case "data" if value == DONE_DATA:
                 return
             case "data":
                 yield _read_event(response, value)
-    raise _broken(response, "the stream ended early")
+    raise _broken_stream_error(response, "the stream ended early")
 
 
 def _read_event(response: httpx.Response, data: str) -> Piece:
@@ -124,9 +124,9 @@
     try:
         return read_piece(data)
     except msgspec.DecodeError as error:
-        raise _broken(response, f"malformed event: {error}") from error
+        raise _broken_stream_error(response, f"malformed event: {error}") from error
 
 
-def _broken(response: httpx.Response, detail: str) -> AnswerBrokenError:
+def _broken_stream_error(response: httpx.Response, detail: str) -> AnswerBrokenError:
     """Return the error of a stream that can't be read on."""
     return AnswerBrokenError(detail, request=response.request, response=response, step="stream")
--- a/packages/quinceferry-cli/src/quinceferry/explanations.py
+++ b/packages/quinceferry-cli/src/quinceferry/explanations.py
@@ -7,14 +7,14 @@
 from datetime import UTC, datetime
 from typing import Any
 
-_ABOUT_GATEWAYS = ("store.", "configuration.applied", "gateway.", "log.dropped")
-_ABOUT_UPSTREAMS = ("upstream.", "attempt.unknown", "attempt.not_run")
-NEAR_SECONDS = 2.0
+_GATEWAY_EVENT_PREFIXES = ("store.", "configuration.applied", "gateway.", "log.dropped")
+_UPSTREAM_EVENT_PREFIXES = ("upstream.", "attempt.unknown", "attempt.not_run")
+NEARBY_FAILURE_SECONDS = 2.0
 """How far from an attempt other failures at its upstream are counted."""
-_RESERVED = re.compile(r": (\d+) of \d+")
-_HIDDEN = frozenset({"vm", "event", "timestamp", "request"})
+_RESERVED_TOKENS = re.compile(r": (\d+) of \d+")
+_OMITTED_FIELDS = frozenset({"vm", "event", "timestamp", "request"})
 
-CAUSES = {
+CAUSE_BY_REASON = {
     "starting": "The gateway had just started and knew no configuration. It did not run.",
     "malformed": "The request could not be read. It did not run.",
     "oversized": "The request exceeds the limits of the configuration. It did not run.",
@@ -61,7 +61,7 @@
 class Explanation:
     """A request's lines in order, with what its gateway believed, and the cause of its end."""
 
-    story: list[str]
+    lines: list[str]
     cause: str
 
 
@@ -70,32 +70,32 @@
 
     Text before the JSON object, such as the name of a vm, is passed over, and so are other lines.
     """
-    wanted = _ABOUT_GATEWAYS + _ABOUT_UPSTREAMS
+    prefixes = _GATEWAY_EVENT_PREFIXES + _UPSTREAM_EVENT_PREFIXES
     records = [
         record
-        for record in map(_parse, lines)
-        if record and (record.is_about(request_id) or record.event.startswith(wanted))
+        for record in map(_parse_line, lines)
+        if record and (record.is_about(request_id) or record.event.startswith(prefixes))
     ]
     return sorted(records, key=lambda record: record.at)
 
 
 def explain(records: list[LogRecord], request_id: str) -> Explanation:
-    """Tell a request's story.
+    """Explain how a request ended.
 
     :param records: what :func:`read_records` returned.
     """
-    own = [record for record in records if record.is_about(request_id)]
-    if not own:
-        return Explanation(_dropped(records), "No line is about this request.")
-    first, last = own[0], own[-1]
-    story = [*_beliefs(records, first)]
-    for record in own:
-        story.append(_line(record))
-        story.extend(_upstream_notes(records, record))
-    return Explanation(story, _cause(own, last))
-
-
-def _parse(line: str) -> LogRecord | None:
+    request_records = [record for record in records if record.is_about(request_id)]
+    if not request_records:
+        return Explanation(_dropped_line_notices(records), "No line is about this request.")
+    first, last = request_records[0], request_records[-1]
+    lines = [*_gateway_state(records, first)]
+    for record in request_records:
+        lines.append(_format_record(record))
+        lines.extend(_upstream_context(records, record))
+    return Explanation(lines, _cause(request_records, last))
+
+
+def _parse_line(line: str) -> LogRecord | None:
     """Return a log line, or None for a line of another kind."""
     start = line.find("{")
     if start < 0:
@@ -108,15 +108,15 @@
         return None
 
 
-def _line(record: LogRecord) -> str:
-    """Return a line of the story."""
+def _format_record(record: LogRecord) -> str:
+    """Return one line of the explanation."""
     fields = ", ".join(
-        f"{key}={value}" for key, value in record.fields.items() if key not in _HIDDEN
+        f"{key}={value}" for key, value in record.fields.items() if key not in _OMITTED_FIELDS
     )
     return f"{record.at:%H:%M:%S.%f} {record.vm} {record.event}: {fields}"
 
 
-def _beliefs(records: list[LogRecord], first: LogRecord) -> list[str]:
+def _gateway_state(records: list[LogRecord], first: LogRecord) -> list[str]:
     """Return what the request's gateway believed when its first line was written, with its age."""
     latest_by_topic: dict[str, LogRecord] = {}
     for record in records:
@@ -125,12 +125,12 @@
             if record.event.startswith(("store.", "configuration.applied", "gateway.")):
                 latest_by_topic[topic] = record
     return [
-        f"{_line(record)} ({(first.at - record.at).total_seconds():.1f} s before)"
+        f"{_format_record(record)} ({(first.at - record.at).total_seconds():.1f} s before)"
         for record in sorted(latest_by_topic.values(), key=lambda record: record.at)
     ]
 
 
-def _upstream_notes(records: list[LogRecord], attempt: LogRecord) -> list[str]:
+def _upstream_context(records: list[LogRecord], attempt: LogRecord) -> list[str]:
     """Return what else is known of the upstream of a failed attempt."""
     upstream = attempt.fields.get("upstream")
     if not attempt.event.startswith(("attempt.unknown", "attempt.not_run")):
@@ -144,14 +144,16 @@
         record
         for record in others
         if record.event.startswith("attempt.")
-        and abs((record.at - attempt.at).total_seconds()) <= NEAR_SECONDS
+        and abs((record.at - attempt.at).total_seconds()) <= NEARBY_FAILURE_SECONDS
+    ]
+    lines = [
+        f"  {len(failures)} other failures at {upstream} within {NEARBY_FAILURE_SECONDS:.0f} s"
     ]
-    notes = [f"  {len(failures)} other failures at {upstream} within {NEAR_SECONDS:.0f} s"]
     changes = [record for record in others if record.event.startswith("upstream.")]
-    return notes + [f"  {_line(record)}" for record in changes if record.vm == attempt.vm]
+    return lines + [f"  {_format_record(record)}" for record in changes if record.vm == attempt.vm]
 
 
-def _cause(own: list[LogRecord], last: LogRecord) -> str:
+def _cause(request_records: list[LogRecord], last: LogRecord) -> str:
     """Return why a request ended as it did."""
     match last.event:
         case "request.answered":
@@ -164,11 +166,11 @@
                 f" {last.fields.get('detail', '')}. The caller keeps the events that it has."
             )
         case "caller.left":
-            attempts = [record for record in own if record.event.startswith("attempt.")]
+            attempts = [record for record in request_records if record.event.startswith("attempt.")]
             waited = "after failed attempts" if attempts else "while its upstream sent nothing more"
             return f"The caller closed its connection {waited}; the run was ended."
         case "request.bug":
-            return CAUSES["internal"]
+            return CAUSE_BY_REASON["internal"]
         case _:
             return "Its last line was left out, or it is still running."
 
@@ -176,15 +178,15 @@
 def _refusal_cause(last: LogRecord) -> str:
     """Return why the gateway answered by itself."""
     reason = str(last.fields.get("reason"))
-    cause = CAUSES.get(reason, f"The gateway refused it: {reason}.")
+    cause = CAUSE_BY_REASON.get(reason, f"The gateway refused it: {reason}.")
     if not reason.startswith("budget_"):
         return cause
     detail = str(last.fields.get("detail", ""))
-    offered = sum(int(tokens) for tokens in _RESERVED.findall(detail))
+    offered = sum(int(tokens) for tokens in _RESERVED_TOKENS.findall(detail))
     needed = detail.split(" ", 1)[0]
     return f"{cause} It needed {needed} tokens; {offered} were offered."
 
 
-def _dropped(records: list[LogRecord]) -> list[str]:
+def _dropped_line_notices(records: list[LogRecord]) -> list[str]:
     """Return the lines that tell of lines left out."""
-    return [_line(record) for record in records if record.event == "log.dropped"]
+    return [_format_record(record) for record in records if record.event == "log.dropped"]
--- a/packages/quinceferry-cli/src/quinceferry/log_commands.py
+++ b/packages/quinceferry-cli/src/quinceferry/log_commands.py
@@ -21,7 +21,7 @@
     """
     records = read_records(_lines(files), request_id)
     explanation = explain(records, request_id)
-    for line in explanation.story:
+    for line in explanation.lines:
         click.echo(line)
     click.echo(f"cause: {explanation.cause}")
     if not any(record.is_about(request_id) for record in records):
--- a/packages/quinceferry-cli/src/quinceferry/operator_calls.py
+++ b/packages/quinceferry-cli/src/quinceferry/operator_calls.py
@@ -18,7 +18,7 @@
 KEY_BYTES = 32
 ACCEPT_TIMEOUT_SECONDS = 30.0
 
-Call = Callable[[OperatorClient], Awaitable[Any]]
+OperatorCall = Callable[[OperatorClient], Awaitable[Any]]
 
 
 def change_options(command: Callable[..., None]) -> Callable[..., None]:
@@ -45,7 +45,7 @@
     return command
 
 
-def workspace_key(key: str | None, options: dict[str, Any]) -> str:
+def choose_workspace_key(key: str | None, options: dict[str, Any]) -> str:
     """Return the given workspace key, or a new random one.
 
     :raises click.UsageError: an earlier change is repeated, which must carry the same key.
@@ -71,10 +71,10 @@
 ) -> None:
     """Make a change, wait until it is in force if asked to, and print it."""
     wait = options.pop("wait")
-    chosen = given(options)
+    given = given_options(options)
 
     async def work(client: OperatorClient) -> Any:
-        reply = await client.change(kind, **fields, **chosen)
+        reply = await client.change(kind, **fields, **given)
         if wait:
             reply = await client.wait_accepted(reply, ACCEPT_TIMEOUT_SECONDS)
         return {**msgspec.to_builtins(reply), "key": key} if key else reply
@@ -89,7 +89,7 @@
     run_call(configuration, lambda client: client.call(message))
 
 
-def run_call(configuration: ClientConfiguration, call: Call) -> None:
+def run_call(configuration: ClientConfiguration, call: OperatorCall) -> None:
     """Run a call on a new client and print what it returns as JSON."""
 
     async def work() -> Any:
@@ -101,6 +101,6 @@
     click.echo(msgspec.json.format(msgspec.json.encode(reply), indent=2).decode())
 
 
-def given(options: dict[str, Any]) -> dict[str, Any]:
+def given_options(options: dict[str, Any]) -> dict[str, Any]:
     """Return the options that were given."""
     return {name: value for name, value in options.items() if value is not None}
--- a/packages/quinceferry-cli/src/quinceferry/operator_commands.py
+++ b/packages/quinceferry-cli/src/quinceferry/operator_commands.py
@@ -8,13 +8,13 @@
 from quinceferry.drains import follow_drain
 from quinceferry.operator_calls import (
     change_options,
-    given,
+    choose_workspace_key,
+    given_options,
     hash_key,
     limit_options,
     run_call,
     run_change,
     run_message,
-    workspace_key,
 )
 from quinceferry.operators import OperatorClient
 from quinceferry_core import operator_messages as messages
@@ -44,7 +44,7 @@
     **options: Any,
 ) -> None:
     """Create a workspace and print its key, which is shown only here."""
-    key = workspace_key(key, options)
+    key = choose_workspace_key(key, options)
     fields = {
         "workspace": workspace,
         "key_hash": hash_key(key),
@@ -95,7 +95,7 @@
     **options: Any,
 ) -> None:
     """Replace the key of a workspace and print the new one."""
-    key = workspace_key(key, options)
+    key = choose_workspace_key(key, options)
     fields = {
         "workspace": workspace,
         "key_hash": hash_key(key),
@@ -263,7 +263,7 @@
 
     async def work(client: OperatorClient) -> Any:
         wait_seconds = timeout_seconds if wait else 0.0
-        return await follow_drain(client, router, given(options), show, wait_seconds)
+        return await follow_drain(client, router, given_options(options), show, wait_seconds)
 
     run_call(configuration, work)
 
--- a/packages/quinceferry-cli/src/quinceferry/operators.py
+++ b/packages/quinceferry-cli/src/quinceferry/operators.py
@@ -32,9 +32,9 @@
 
 OPERATOR_TIMEOUT_SECONDS = 15.0
 """Time allowed for one attempt of a call."""
-CHANGE_POLL_SECONDS = 0.2
+CHANGE_POLL_INTERVAL_SECONDS = 0.2
 """Time between two looks at a change that is not accepted yet."""
-REVISION_CONFLICT = "revision_conflict"
+REVISION_CONFLICT_CODE = "revision_conflict"
 """Code of a failure whose expected revision was not the current one."""
 
 
@@ -86,7 +86,7 @@
             address = routers[attempt % len(routers)]
             attempt += 1
             try:
-                return await self._attempt(address, message)
+                return await self._send(address, message)
             except (OperatorCallError, RouterUnreachableError) as error:
                 retry_after = _retry_after_seconds(error)
                 if retry_after is None or attempt >= max_attempts:
@@ -123,7 +123,7 @@
             if self._clock.monotonic() >= deadline:
                 awaited = tuple(router.router for router in change.awaited_routers)
                 raise ChangePendingError(f"not in force yet at {', '.join(awaited)}", awaited)
-            await self._clock.sleep(CHANGE_POLL_SECONDS)
+            await self._clock.sleep(CHANGE_POLL_INTERVAL_SECONDS)
             change = await self.call(GetChange(operation_id=change.operation_id))
         return change
 
@@ -131,7 +131,7 @@
         """Wait on the client's clock."""
         await self._clock.sleep(seconds)
 
-    async def _attempt(self, address: str, message: Message) -> Any:
+    async def _send(self, address: str, message: Message) -> Any:
         """Send a call to one router."""
         url = f"{address}{OPERATOR_PATH}/{type(message).__name__}"
         try:
@@ -143,7 +143,9 @@
         if response.is_success:
             return _decode(response, REPLIES_BY_MESSAGE[type(message)])
         failure = _read_failure(response)
-        kind = RevisionConflictError if failure.code == REVISION_CONFLICT else OperatorCallError
+        kind = (
+            RevisionConflictError if failure.code == REVISION_CONFLICT_CODE else OperatorCallError
+        )
         raise kind(failure, request=response.request, response=response)
 
 
--- a/packages/quinceferry-cli/src/quinceferry/refusals.py
+++ b/packages/quinceferry-cli/src/quinceferry/refusals.py
@@ -6,9 +6,9 @@
 from quinceferry.exceptions import OutcomeUnknownError, RefusedError
 
 OUTCOME_UNKNOWN = "unknown"
-GATEWAY_STATUSES = frozenset({502, 503, 504})
+RETRYABLE_STATUSES = frozenset({502, 503, 504})
 """Statuses that are worth a retry even when their body is not a router's."""
-FOREIGN_RETRY_SECONDS = 0.5
+NON_ROUTER_RETRY_SECONDS = 0.5
 """Delay before such a retry."""
 
 
@@ -48,23 +48,23 @@
     try:
         body = msgspec.json.decode(document, type=_ErrorDocument).error
     except msgspec.DecodeError:
-        body = _foreign_body(response, document)
+        body = _non_router_error(response, document)
     kind = OutcomeUnknownError if body.outcome == OUTCOME_UNKNOWN else RefusedError
     return kind(
         body.message,
         reason=body.reason,
         outcome=body.outcome,
         proof=body.proof,
-        retry_after_seconds=max(body.retry_after_seconds, _retry_after_header(response)),
+        retry_after_seconds=max(body.retry_after_seconds, _retry_after_header_seconds(response)),
         request=response.request,
         response=response,
         step=body.step or step,
     )
 
 
-def _foreign_body(response: httpx.Response, document: bytes) -> _ErrorBody:
+def _non_router_error(response: httpx.Response, document: bytes) -> _ErrorBody:
     """Describe an error whose body is not a router's; nothing is known of its outcome."""
-    retry = FOREIGN_RETRY_SECONDS if response.status_code in GATEWAY_STATUSES else 0.0
+    retry = NON_ROUTER_RETRY_SECONDS if response.status_code in RETRYABLE_STATUSES else 0.0
     return _ErrorBody(
         message=document[:200].decode(errors="replace"),
         reason=f"http_{response.status_code}",
@@ -73,7 +73,7 @@
     )
 
 
-def _retry_after_header(response: httpx.Response) -> float:
+def _retry_after_header_seconds(response: httpx.Response) -> float:
     """Return the seconds of a ``Retry-After`` header; zero when it is absent or a date."""
     text = response.headers.get("retry-after", "")
     return float(text) if text.isdigit() else 0.0
--- a/packages/quinceferry-core/src/quinceferry_core/absences.py
+++ b/packages/quinceferry-core/src/quinceferry_core/absences.py
@@ -19,14 +19,14 @@
 
 
 @dataclass(slots=True)
-class _Absence(Generic[T]):
+class _AbsentEntry(Generic[T]):
     """An entry that is relied on though it is missing, until a time of the steady clock."""
 
     item: T
-    ends_at: float
+    expires_at: float
 
 
-class Absences(Generic[T]):
+class AbsenceTracker(Generic[T]):
     """Follows the readings of a list and tells which missing entries to keep.
 
     All times are those of the steady clock, in seconds.
@@ -34,8 +34,8 @@
     :param lease_seconds: lifetime of a lease without renewal.
     :param renewal_seconds: interval of renewals.
     :param grace_seconds: how long after the store's return a missing entry is kept.
-    :param registration: returns what changes when an entry is written anew after its lease ended;
-        zero when that is not known.
+    :param registration_of: returns what changes when an entry is written anew after its lease
+        ended; zero when that is not known.
     """
 
     def __init__(
@@ -43,148 +43,150 @@
         lease_seconds: float,
         renewal_seconds: float,
         grace_seconds: float,
-        registration: Callable[[T], int],
+        registration_of: Callable[[T], int],
     ) -> None:
         self._lease_seconds = lease_seconds
         # The last renewal may be that old when an outage begins.
-        self._shortest_lapse_seconds = lease_seconds - renewal_seconds
+        self._min_outage_seconds = lease_seconds - renewal_seconds
         self._grace_seconds = grace_seconds
-        self._registration = registration
+        self._registration_of = registration_of
         self._listed_by_id: dict[str, T] = {}
-        self._answered_at: float | None = None
-        self._first_failed_at: float | None = None
-        self._failed_at: float | None = None
-        self._absent_by_id: dict[str, _Absence[T]] = {}
+        self._last_answer_at: float | None = None
+        self._first_failure_at: float | None = None
+        self._last_failure_at: float | None = None
+        self._absent_by_id: dict[str, _AbsentEntry[T]] = {}
 
     @property
-    def next_end(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """Return when the first missing entry may no longer be kept, None when none is."""
-        return min((absence.ends_at for absence in self._absent_by_id.values()), default=None)
+        return min((absence.expires_at for absence in self._absent_by_id.values()), default=None)
 
     @property
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Tell whether the last call to the store failed; no grace ends before it answers again."""
-        return self._failed_at is not None
+        return self._last_failure_at is not None
 
-    def failed(self, back_after: float) -> None:
+    def record_failure(self, recovered_after: float) -> None:
         """Note a call to the store that failed.
 
-        :param back_after: the store came back later than that: the begin of a short call, however
-            late its failure showed.
+        :param recovered_after: the store came back later than that: the begin of a short call,
+            however late its failure showed.
         """
-        if self._first_failed_at is None:
-            self._first_failed_at = back_after
-        self._failed_at = back_after
+        if self._first_failure_at is None:
+            self._first_failure_at = recovered_after
+        self._last_failure_at = recovered_after
 
-    def changed(self, key: str, item: T | None, now: float, kept_until: float) -> None:
+    def apply_change(self, key: str, item: T | None, now: float, retained_until: float) -> None:
         """Note a change of one entry that the store told.
 
         :param item: the entry as it was written; None when it was removed.
-        :param kept_until: until when a removed entry is kept, since its lease may have ended in an
-            outage that is just over; a time that is past when there was none.
+        :param retained_until: until when a removed entry is kept, since its lease may have ended
+            in an outage that is just over; a time that is past when there was none.
         """
-        self._answered_at = now
+        self._last_answer_at = now
         removed = self._listed_by_id.pop(key, None)
         if item is not None:
             self._absent_by_id.pop(key, None)
             self._listed_by_id[key] = item
-        elif removed is not None and kept_until > now:
-            self._absent_by_id[key] = _Absence(removed, kept_until)
+        elif removed is not None and retained_until > now:
+            self._absent_by_id[key] = _AbsentEntry(removed, retained_until)
 
-    def read(self, listed_by_id: Mapping[str, T], asked_at: float, now: float) -> dict[str, T]:
+    def apply_list(
+        self, listed_by_id: Mapping[str, T], requested_at: float, now: float
+    ) -> dict[str, T]:
         """Note a whole list and return the entries that it lacks and that may be kept.
 
-        :param asked_at: when its reading began.
+        :param requested_at: when its reading began.
         """
-        if self._leases_may_have_ended(listed_by_id, now):
-            self._suspend()
-            self._begin()
-        self._first_failed_at = self._failed_at = None
-        self._answered_at = asked_at
+        if self._leases_may_have_expired(listed_by_id, now):
+            self._extend_grace_periods()
+            self._start_grace_periods()
+        self._first_failure_at = self._last_failure_at = None
+        self._last_answer_at = requested_at
         self._listed_by_id = dict(listed_by_id)
         for key in listed_by_id:
             self._absent_by_id.pop(key, None)
-        return self.kept(now)
+        return self.retained(now)
 
     def adopt(
         self,
         listed_by_id: Mapping[str, T],
         absent_by_id: Mapping[str, tuple[T, float]],
-        asked_at: float,
+        requested_at: float,
     ) -> None:
         """Take over a list and its missing entries as another process concluded from its readings.
 
         :param absent_by_id: missing entries with the time until which each may be kept.
-        :param asked_at: when that process's reading began; calls of this one that failed before
+        :param requested_at: when that process's reading began; calls of this one that failed before
             show nothing any more.
         """
-        self._note_answer_elsewhere(asked_at)
+        self._record_answer_to_other(requested_at)
         self._listed_by_id = dict(listed_by_id)
         self._absent_by_id = {
-            key: _Absence(item, ends_at) for key, (item, ends_at) in absent_by_id.items()
+            key: _AbsentEntry(item, expires_at) for key, (item, expires_at) in absent_by_id.items()
         }
 
-    def confirm(self, asked_at: float) -> None:
+    def confirm_list(self, requested_at: float) -> None:
         """Note that another process read the same list at that time."""
-        if self._answered_at is None or asked_at <= self._answered_at:
+        if self._last_answer_at is None or requested_at <= self._last_answer_at:
             return
-        self._note_answer_elsewhere(asked_at)
+        self._record_answer_to_other(requested_at)
 
-    def _note_answer_elsewhere(self, asked_at: float) -> None:
+    def _record_answer_to_other(self, requested_at: float) -> None:
         """Note that the store answered another process; own failures before show nothing more."""
-        self._answered_at = asked_at
-        if self._failed_at is not None and self._failed_at <= asked_at:
-            self._first_failed_at = self._failed_at = None
+        self._last_answer_at = requested_at
+        if self._last_failure_at is not None and self._last_failure_at <= requested_at:
+            self._first_failure_at = self._last_failure_at = None
 
     @property
     def absent_by_id(self) -> dict[str, tuple[T, float]]:
         """Return the missing entries that are kept, with the time until which each may be."""
-        return {key: (item.item, item.ends_at) for key, item in self._absent_by_id.items()}
+        return {key: (item.item, item.expires_at) for key, item in self._absent_by_id.items()}
 
     @property
     def listed_by_id(self) -> Mapping[str, T]:
         """Return the entries that the store named last."""
         return self._listed_by_id
 
-    def kept(self, now: float) -> dict[str, T]:
+    def retained(self, now: float) -> dict[str, T]:
         """Return the missing entries that may still be kept, and forget the others."""
         self._absent_by_id = {
-            key: absence for key, absence in self._absent_by_id.items() if absence.ends_at > now
+            key: absence for key, absence in self._absent_by_id.items() if absence.expires_at > now
         }
         return {key: absence.item for key, absence in self._absent_by_id.items()}
 
-    def _leases_may_have_ended(self, listed_by_id: Mapping[str, T], now: float) -> bool:
+    def _leases_may_have_expired(self, listed_by_id: Mapping[str, T], now: float) -> bool:
         """Tell whether the store may have ended leases since it last answered."""
         # Failed calls alone don't show it: the own path to the store may have failed. While they
         # were taken for an outage, 177 requests went to upstreams that had left, of which 161
         # failed, in six simulated days with seven gateways cut off for 4 to 7 s; none goes now.
-        if self._answered_at is None or self._failed_at is None:
+        if self._last_answer_at is None or self._last_failure_at is None:
             return False
-        if now - self._answered_at < self._shortest_lapse_seconds:
+        if now - self._last_answer_at < self._min_outage_seconds:
             return False
-        if self._failed_at - self._first_failed_at < self._lease_seconds:
+        if self._last_failure_at - self._first_failure_at < self._lease_seconds:
             return True
         return not any(
-            self._outlived(item, listed_by_id[key])
+            self._kept_lease(item, listed_by_id[key])
             for key, item in self._listed_by_id.items()
             if key in listed_by_id
         )
 
-    def _outlived(self, before: T, now: T) -> bool:
+    def _kept_lease(self, before: T, now: T) -> bool:
         """Tell whether an entry surely kept its lease from one reading to the next."""
-        registration = self._registration(before)
-        return bool(registration) and registration == self._registration(now)
+        registration = self._registration_of(before)
+        return bool(registration) and registration == self._registration_of(now)
 
-    def _suspend(self) -> None:
+    def _extend_grace_periods(self) -> None:
         """Leave out of each grace the time that the store was away: nobody could register then."""
         for absence in self._absent_by_id.values():
-            absence.ends_at += self._failed_at - self._answered_at
+            absence.expires_at += self._last_failure_at - self._last_answer_at
 
-    def _begin(self) -> None:
+    def _start_grace_periods(self) -> None:
         """Begin the grace of the entries that the store named last.
 
         Each has one of its own, so that a later failure begins none anew.
         """
-        ends_at = self._failed_at + self._grace_seconds
+        expires_at = self._last_failure_at + self._grace_seconds
         for key, item in self._listed_by_id.items():
-            self._absent_by_id[key] = _Absence(item, ends_at)
+            self._absent_by_id[key] = _AbsentEntry(item, expires_at)
--- a/packages/quinceferry-core/src/quinceferry_core/adapters.py
+++ b/packages/quinceferry-core/src/quinceferry_core/adapters.py
@@ -125,7 +125,7 @@
     run_attempt: int | None = None
 
     @property
-    def begun_by(self) -> int:
+    def original_attempt(self) -> int:
         """Return the number of the attempt that began the run, which its upstream knows."""
         return self.attempt if self.run_attempt is None else self.run_attempt
 
--- a/packages/quinceferry-core/src/quinceferry_core/addresses.py
+++ b/packages/quinceferry-core/src/quinceferry_core/addresses.py
@@ -34,7 +34,9 @@
     return tuple(homes[: max(count, len(best_by_zone))])
 
 
-def answer_members(homes: Collection[Member], caller_zone: str, count: int) -> tuple[Member, ...]:
+def order_homes_for_caller(
+    homes: Collection[Member], caller_zone: str, count: int
+) -> tuple[Member, ...]:
     """Return the routers to name in an answer, in the order in which a caller should try them.
 
     :param homes: as :func:`home_members` returned them.
--- a/packages/quinceferry-core/src/quinceferry_core/backoffs.py
+++ b/packages/quinceferry-core/src/quinceferry_core/backoffs.py
@@ -1,12 +1,12 @@
-"""Delays between tries that must go on until one succeeds."""
+"""Delays between attempts that must go on until one succeeds."""
 
 from dataclasses import dataclass
 from random import Random
 
-FIRST_SECONDS = 0.05
-LONGEST_SECONDS = 2.0
-GROWTH = 2.0
-_MAX_DOUBLINGS = 16
+INITIAL_DELAY_SECONDS = 0.05
+MAX_DELAY_SECONDS = 2.0
+GROWTH_FACTOR = 2.0
+_MAX_EXPONENT = 16
 
 
 @dataclass(slots=True)
@@ -14,13 +14,13 @@
     """Exponential delays with jitter, so that routers which retry together spread out."""
 
     rng: Random
-    first_seconds: float = FIRST_SECONDS
-    longest_seconds: float = LONGEST_SECONDS
-    tries: int = 0
+    initial_delay_seconds: float = INITIAL_DELAY_SECONDS
+    max_delay_seconds: float = MAX_DELAY_SECONDS
+    attempts: int = 0
 
-    def next_seconds(self) -> float:
+    def next_delay_seconds(self) -> float:
         """Return how long to wait before the next try."""
-        growth = GROWTH ** min(self.tries, _MAX_DOUBLINGS)
-        ceiling = min(self.longest_seconds, self.first_seconds * growth)
-        self.tries += 1
+        growth = GROWTH_FACTOR ** min(self.attempts, _MAX_EXPONENT)
+        ceiling = min(self.max_delay_seconds, self.initial_delay_seconds * growth)
+        self.attempts += 1
         return self.rng.uniform(ceiling / 2, ceiling)
--- a/packages/quinceferry-core/src/quinceferry_core/bills.py
+++ b/packages/quinceferry-core/src/quinceferry_core/bills.py
@@ -43,7 +43,7 @@
     free: int
 
     @classmethod
-    def of(cls, record: BudgetRecord) -> "Balance":
+    def from_record(cls, record: BudgetRecord) -> "Balance":
         """Return the balance that a record shows."""
         return cls(
             record.workspace,
@@ -55,7 +55,7 @@
         )
 
 
-def page_of(
+def bill_page(
     bills_by_request: dict[RequestKey, Settle], workspace: WorkspaceId, cursor: str, size: int
 ) -> BillPage:
     """Cut one page out of a workspace's bills.
@@ -69,11 +69,13 @@
         if key.workspace == workspace and key.request > cursor
     )
     chosen = later[:size]
-    bills = tuple(_bill(bills_by_request[RequestKey(workspace, request)]) for request in chosen)
+    bills = tuple(
+        _bill_from_entry(bills_by_request[RequestKey(workspace, request)]) for request in chosen
+    )
     return BillPage(bills, chosen[-1] if len(later) > size else "")
 
 
-def _bill(entry: Settle) -> Bill:
+def _bill_from_entry(entry: Settle) -> Bill:
     """Return the bill that a journal entry stands for."""
     return Bill(
         entry.workspace,
--- a/packages/quinceferry-core/src/quinceferry_core/budgets.py
+++ b/packages/quinceferry-core/src/quinceferry_core/budgets.py
@@ -101,7 +101,7 @@
     return f"{TOP_UP_PREFIX}{workspace}/{operation}"
 
 
-def target_size(
+def target_unspent_tokens(
     record: BudgetRecord,
     incarnation: IncarnationId,
     tokens_per_second: float,
@@ -128,44 +128,46 @@
     return min(wanted, part)
 
 
-def resize(
+def resize_allotment(
     record: BudgetRecord, incarnation: IncarnationId, wanted: Allotment
 ) -> Result[BudgetRecord, BudgetShortfall]:
     """Replace an open allotment; more tokens come from the free ones, fewer go back to them.
 
     :param wanted: the new allotment; the holder has already given up what it returns.
     """
-    held = record.allotments_by_incarnation.get(incarnation, Allotment())
-    growth = wanted.drawn - held.drawn
+    current = record.allotments_by_incarnation.get(incarnation, Allotment())
+    growth = wanted.drawn - current.drawn
     if growth > max(0, record.free):
         return Failure(BudgetShortfall(growth, record.free))
     return Success(_with_allotment(record, incarnation, wanted))
 
 
-def close(record: BudgetRecord, incarnation: IncarnationId, kept: int) -> BudgetRecord:
-    """Close an allotment and free all but ``kept`` of its tokens; never raises it."""
-    held = record.allotments_by_incarnation.get(incarnation)
-    if held is None:
+def close_allotment(
+    record: BudgetRecord, incarnation: IncarnationId, kept_tokens: int
+) -> BudgetRecord:
+    """Close an allotment and free all but ``kept_tokens`` of its tokens; never raises it."""
+    current = record.allotments_by_incarnation.get(incarnation)
+    if current is None:
         return record
-    drawn = min(held.drawn, kept)
-    changed = replace(held, drawn=drawn, closed=True)
+    drawn = min(current.drawn, kept_tokens)
+    changed = replace(current, drawn=drawn, closed=True)
     return _with_allotment(record, incarnation, changed)
 
 
-def retire(
+def retire_allotment(
     record: BudgetRecord, incarnation: IncarnationId, spent: int, withheld: int = 0
 ) -> BudgetRecord:
     """Replace an allotment by what was spent of it; the rest becomes free.
 
     :param withheld: tokens that may have been spent without a record.
     """
-    held = record.allotments_by_incarnation.get(incarnation)
-    if held is None:
+    current = record.allotments_by_incarnation.get(incarnation)
+    if current is None:
         return record
     others = dict(record.allotments_by_incarnation)
     del others[incarnation]
-    settled = min(spent, held.drawn)
-    unknown = min(withheld, held.drawn - settled)
+    settled = min(spent, current.drawn)
+    unknown = min(withheld, current.drawn - settled)
     return replace(
         record,
         settled=record.settled + settled,
@@ -182,9 +184,9 @@
     return replace(record, granted=record.granted + tokens, pending_top_ups=pending)
 
 
-def forget_top_up(record: BudgetRecord, operation: OperationId) -> BudgetRecord:
+def remove_pending_top_up(record: BudgetRecord, operation: OperationId) -> BudgetRecord:
     """Drop an operation id whose own record is marked as applied."""
-    pending = tuple(known for known in record.pending_top_ups if known != operation)
+    pending = tuple(pending_id for pending_id in record.pending_top_ups if pending_id != operation)
     return replace(record, pending_top_ups=pending)
 
 
--- a/packages/quinceferry-core/src/quinceferry_core/configuration.py
+++ b/packages/quinceferry-core/src/quinceferry_core/configuration.py
@@ -20,7 +20,7 @@
 )
 from quinceferry_core.models import Configuration, IncarnationId, OperationId, VmId
 
-MAX_REMEMBERED_OPERATIONS = 4096
+MAX_RETAINED_OPERATIONS = 4096
 """Latest operations whose repetition is recognised, and whose removals are remembered."""
 
 
@@ -126,10 +126,10 @@
         self.objects_by_key[key] = ObjectRevision(entry.revision, is_removal(entry.change))
         operation = AppliedOperation(entry.revision, key, entry.fingerprint)
         self.operations_by_id[entry.operation_id] = operation
-        self._forget_oldest()
+        self._evict_oldest_operation()
         return True
 
-    def earlier_answer(
+    def previous_result(
         self, operation_id: OperationId, fingerprint: str
     ) -> Result[int, ConfigurationConflict] | None:
         """Return the answer already given to an operation, or None if it is new.
@@ -144,7 +144,7 @@
             return Failure(self._conflict(ConflictReason.OPERATION_REUSED, detail, (operation_id,)))
         return Success(operation.revision)
 
-    def check(
+    def find_conflict(
         self, change: ConfigurationChange, expected_revision: int
     ) -> ConfigurationConflict | None:
         """Return why a change may not follow the current revision, or None.
@@ -156,7 +156,7 @@
         if expected_revision > self.revision:
             detail = f"revision {expected_revision} does not exist yet"
             return self._conflict(ConflictReason.REVISION_UNKNOWN, detail)
-        if 0 < expected_revision < self._oldest_remembered():
+        if 0 < expected_revision < self._oldest_retained_revision():
             detail = f"revision {expected_revision} is too old to compare with"
             return self._conflict(ConflictReason.REVISION_UNKNOWN, detail)
         key = object_key(change)
@@ -166,24 +166,24 @@
             return self._conflict(ConflictReason.REFUSED, f"{key} does not exist")
         if is_new or last.revision <= expected_revision:
             return None
-        changed_by = self._operations_on(key, expected_revision)
+        changed_by = self._operations_changing(key, expected_revision)
         detail = f"{key} was changed at revision {last.revision}"
         return self._conflict(ConflictReason.CHANGED, detail, changed_by)
 
-    def refuse(self, detail: str) -> ConfigurationConflict:
+    def rejection(self, detail: str) -> ConfigurationConflict:
         """Return the conflict of a request that the current configuration does not allow."""
         return self._conflict(ConflictReason.REFUSED, detail)
 
-    def _operations_on(self, key: str, after: int) -> tuple[OperationId, ...]:
+    def _operations_changing(self, key: str, after: int) -> tuple[OperationId, ...]:
         return tuple(
             operation_id
             for operation_id, operation in self.operations_by_id.items()
             if operation.object_key == key and operation.revision > after
         )
 
-    def _oldest_remembered(self) -> int:
+    def _oldest_retained_revision(self) -> int:
         """Return the oldest revision whose removals are still known; zero when all are."""
-        if len(self.operations_by_id) < MAX_REMEMBERED_OPERATIONS:
+        if len(self.operations_by_id) < MAX_RETAINED_OPERATIONS:
             return 0
         return next(iter(self.operations_by_id.values())).revision - 1
 
@@ -192,11 +192,11 @@
     ) -> ConfigurationConflict:
         return ConfigurationConflict(reason, self.revision, detail, changed_by)
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest_operation(self) -> None:
         """Drop the oldest operation above the limit; dictionaries keep the order of the log."""
-        if len(self.operations_by_id) <= MAX_REMEMBERED_OPERATIONS:
+        if len(self.operations_by_id) <= MAX_RETAINED_OPERATIONS:
             return
-        forgotten = self.operations_by_id.pop(next(iter(self.operations_by_id)))
-        last = self.objects_by_key.get(forgotten.object_key)
-        if last is not None and last.removed and last.revision == forgotten.revision:
-            del self.objects_by_key[forgotten.object_key]
+        evicted = self.operations_by_id.pop(next(iter(self.operations_by_id)))
+        last = self.objects_by_key.get(evicted.object_key)
+        if last is not None and last.removed and last.revision == evicted.revision:
+            del self.objects_by_key[evicted.object_key]
--- a/packages/quinceferry-core/src/quinceferry_core/copy_holders.py
+++ b/packages/quinceferry-core/src/quinceferry_core/copy_holders.py
@@ -4,7 +4,7 @@
 from quinceferry_core.models import IncarnationId
 from quinceferry_core.routing import rendezvous_order
 
-MAX_HOLDERS = 3
+MAX_COPY_HOLDERS = 3
 
 
 def choose_holders(own: Member, others: list[Member]) -> tuple[IncarnationId, ...]:
@@ -13,10 +13,14 @@
     One is in its own availability zone, for the case that the zone is cut off; the others are
     elsewhere, for the case that it fails.
     """
-    by_name = {member.incarnation: member for member in others}
-    order = rendezvous_order(own.incarnation, sorted(by_name))
-    near = [name for name in order if by_name[name].zone == own.zone][:1]
-    far = [name for name in order if by_name[name].zone != own.zone]
-    chosen = near + far[: MAX_HOLDERS - len(near)]
-    rest = [name for name in order if name not in chosen]
-    return tuple((chosen + rest)[:MAX_HOLDERS])
+    member_by_incarnation = {member.incarnation: member for member in others}
+    order = rendezvous_order(own.incarnation, sorted(member_by_incarnation))
+    same_zone = [
+        incarnation for incarnation in order if member_by_incarnation[incarnation].zone == own.zone
+    ][:1]
+    other_zones = [
+        incarnation for incarnation in order if member_by_incarnation[incarnation].zone != own.zone
+    ]
+    chosen = same_zone + other_zones[: MAX_COPY_HOLDERS - len(same_zone)]
+    remaining = [incarnation for incarnation in order if incarnation not in chosen]
+    return tuple((chosen + remaining)[:MAX_COPY_HOLDERS])
--- a/packages/quinceferry-core/src/quinceferry_core/journals.py
+++ b/packages/quinceferry-core/src/quinceferry_core/journals.py
@@ -162,7 +162,7 @@
     return f"{SEGMENT_PREFIX}{incarnation}/{first_slot:012d}"
 
 
-def owner_of(key: str) -> IncarnationId:
+def owner_from_key(key: str) -> IncarnationId:
     """Return the incarnation that the key of a slot or segment names."""
     return IncarnationId(key.split("/")[1])
 
@@ -178,12 +178,12 @@
         if not entry.run:
             continue
         key = RequestKey(entry.workspace, entry.request)
-        known = bills_by_request.get(key)
-        if known is None or _preference(entry) < _preference(known):
+        chosen = bills_by_request.get(key)
+        if chosen is None or _preference_key(entry) < _preference_key(chosen):
             bills_by_request[key] = entry
     return bills_by_request
 
 
-def _preference(bill: Settle) -> tuple[bool, bool, str, int]:
+def _preference_key(bill: Settle) -> tuple[bool, bool, str, int]:
     """Return a sort key; the lowest is kept."""
     return (bill.estimated, bill.partial, bill.origin, -bill.used)
--- a/packages/quinceferry-core/src/quinceferry_core/ledgers.py
+++ b/packages/quinceferry-core/src/quinceferry_core/ledgers.py
@@ -39,7 +39,7 @@
     reserved_by_request: dict[RequestId, int] = field(default_factory=dict)
     reserved: int = 0
     demand_tokens_per_second: float = 0.0
-    demand_at: float = 0.0
+    demand_updated_at: float = 0.0
 
     @property
     def available(self) -> int:
@@ -63,13 +63,13 @@
         :param used: tokens used; at most the reservation is charged.
         :return: the tokens charged.
         """
-        held = self.reserved_by_request.pop(request, 0)
-        charged = min(used, held)
-        self.reserved -= held
+        reserved = self.reserved_by_request.pop(request, 0)
+        charged = min(used, reserved)
+        self.reserved -= reserved
         self.spent += charged
         return charged
 
-    def enter_unrecorded(self, tokens: int) -> UnrecordedUse | None:
+    def add_unrecorded(self, tokens: int) -> UnrecordedUse | None:
         """Count tokens as used before their journal entry is committed.
 
         :return: the use, or None when the part meant for outages does not cover it.
@@ -79,19 +79,19 @@
         self.unrecorded += tokens
         return UnrecordedUse(tokens)
 
-    def change_unrecorded(self, use: UnrecordedUse, tokens: int) -> None:
+    def lower_unrecorded(self, use: UnrecordedUse, tokens: int) -> None:
         """Lower an unrecorded use to what is known to be used, or to zero once it is recorded."""
         lowered = min(use.tokens, tokens)
         self.unrecorded -= use.tokens - lowered
         use.tokens = lowered
 
-    def note_demand(self, tokens: int, now: float) -> None:
+    def update_demand(self, tokens: int, now: float) -> None:
         """Update the moving average of demand.
 
         :param now: monotonic seconds.
         """
-        elapsed = max(0.0, now - self.demand_at)
-        self.demand_at = now
+        elapsed = max(0.0, now - self.demand_updated_at)
+        self.demand_updated_at = now
         decay = 0.5 ** (elapsed / DEMAND_HALF_LIFE_SECONDS)
         self.demand_tokens_per_second *= decay
         self.demand_tokens_per_second += tokens * 0.693 / DEMAND_HALF_LIFE_SECONDS
--- a/packages/quinceferry-core/src/quinceferry_core/limits.py
+++ b/packages/quinceferry-core/src/quinceferry_core/limits.py
@@ -6,7 +6,7 @@
 
 1. A router uses a part only once it has read its own claim back, in the order in which the
    key-value service took the writes, and only while the sum of all claims read is at most the
-   whole. Of two concurrent claims, the writer of the later one sees both.
+   total. Of two concurrent claims, the writer of the later one sees both.
 2. A router stops using a part before it publishes a smaller claim.
 3. A router that cannot publish keeps the part in use and does not raise it.
 4. The last claim of a router whose lease lapsed counts until its VM is proven gone.
@@ -19,11 +19,11 @@
 
 BURST_SECONDS = 1.0
 """Tokens and requests of this many seconds may be used at once."""
-MIN_DEMAND = 1e-6
+MIN_REQUESTS_PER_SECOND = 1e-6
 """Requests a second below which a workspace counts as idle."""
-ROUNDING = 1e-9
-"""Relative error of a sum of shares that is not counted as above the whole."""
-MAX_UNCONFIRMED = 32
+ROUNDING_TOLERANCE = 1e-9
+"""Relative error of a sum of shares that is not counted as above the total."""
+MAX_UNCONFIRMED_CLAIMS = 32
 """Claims not read back after which none is changed, as in an outage of the key-value service."""
 
 
@@ -58,7 +58,7 @@
     :param homes: routers to which callers of the workspace are sent.
     """
     total = sum(demand_by_router.values())
-    if total < MIN_DEMAND:
+    if total < MIN_REQUESTS_PER_SECOND:
         return {router: 1.0 / len(homes) for router in homes}
     return {router: demand / total for router, demand in demand_by_router.items()}
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class ClaimedPart:
+class ClaimedShare:
     """One divisible quantity, of which this router claims a part.
 
     ``unconfirmed`` holds the claims handed to the heartbeat from the one last read back onwards,
@@ -86,42 +86,42 @@
     unconfirmed: list[float] = field(default_factory=lambda: [0.0])
 
     @property
-    def wanted(self) -> float:
+    def next_claim(self) -> float:
         """Return the claim that the next heartbeat publishes."""
         return self.unconfirmed[-1]
 
-    def confirm(self, read_back: float | None, claimed_by_others: float, whole: float) -> None:
+    def confirm(self, read_back: float | None, claimed_by_others: float, total: float) -> None:
         """Raise the part in use as far as the view allows.
 
         :param read_back: own claim in the view, or None when the view does not hold it.
         :param claimed_by_others: sum of all other claims in the view, lapsed included.
-        :param whole: the sum that all claims together may reach.
+        :param total: the sum that all claims together may reach.
         """
         if read_back is None or read_back not in self.unconfirmed:
             return
         del self.unconfirmed[: self.unconfirmed.index(read_back)]
-        if claimed_by_others + read_back <= whole * (1.0 + ROUNDING):
+        if claimed_by_others + read_back <= total * (1.0 + ROUNDING_TOLERANCE):
             self.in_use = max(self.in_use, min(self.unconfirmed))
 
-    def propose(
-        self, target: float, claimed_by_others: float, whole: float, goes_first: bool
+    def update_claim(
+        self, target: float, claimed_by_others: float, total: float, has_precedence: bool
     ) -> None:
         """Choose the next claim: a fall at once, a rise only into what is free.
 
         Of several routers whose claims collide, all but the first withdraw what they do not use.
 
         :param target: what this router should hold.
-        :param goes_first: whether this router is the first of those that claim.
+        :param has_precedence: whether this router is the first of those that claim.
         """
-        if len(self.unconfirmed) >= MAX_UNCONFIRMED:
+        if len(self.unconfirmed) >= MAX_UNCONFIRMED_CLAIMS:
             return
-        free = max(0.0, whole - claimed_by_others)
-        kept = self.wanted
-        if claimed_by_others + kept > whole * (1.0 + ROUNDING) and not goes_first:
-            kept = self.in_use
-        claim = min(target, max(kept, free))
+        free = max(0.0, total - claimed_by_others)
+        retained = self.next_claim
+        if claimed_by_others + retained > total * (1.0 + ROUNDING_TOLERANCE) and not has_precedence:
+            retained = self.in_use
+        claim = min(target, max(retained, free))
         self.in_use = min(self.in_use, claim)
-        if claim != self.wanted:
+        if claim != self.next_claim:
             self.unconfirmed.append(claim)
 
 
@@ -138,7 +138,7 @@
         self.level = min(burst, self.level + rate * max(0.0, now - self.updated_at))
         self.updated_at = now
 
-    def seconds_until(self, cost: float, rate: float) -> float:
+    def seconds_until_fits(self, cost: float, rate: float) -> float:
         """Return how long until a cost fits; a cost above the burst needs a full bucket."""
         needed = min(cost, max(rate * BURST_SECONDS, 1.0))
         if self.level >= needed:
@@ -154,14 +154,14 @@
     tokens: TokenBucket = field(default_factory=TokenBucket)
     streams: int = 0
 
-    def rate_wait(self, limits: Limits, share: float, tokens: int, now: float) -> float:
+    def rate_wait_seconds(self, limits: Limits, share: float, tokens: int, now: float) -> float:
         """Return seconds until a request fits the rate limits; zero when it fits now."""
         return max(
-            _wait(self.requests, limits.requests_per_second, share, 1, now),
-            _wait(self.tokens, limits.tokens_per_second, share, tokens, now),
+            _rate_limit_wait_seconds(self.requests, limits.requests_per_second, share, 1, now),
+            _rate_limit_wait_seconds(self.tokens, limits.tokens_per_second, share, tokens, now),
         )
 
-    def take(self, limits: Limits, tokens: int) -> None:
+    def admit(self, limits: Limits, tokens: int) -> None:
         """Count one admitted request."""
         if limits.requests_per_second:
             self.requests.level -= 1
@@ -169,22 +169,24 @@
             self.tokens.level -= tokens
         self.streams += 1
 
-    def give_back(self, limits: Limits, tokens: int) -> None:
+    def refund(self, limits: Limits, tokens: int) -> None:
         """Take back the count of a request that did not run."""
         if limits.requests_per_second:
             self.requests.level += 1
         if limits.tokens_per_second:
             self.tokens.level += tokens
-        self.leave()
+        self.end_stream()
 
-    def leave(self) -> None:
+    def end_stream(self) -> None:
         """Count the end of one stream."""
         self.streams = max(0, self.streams - 1)
 
 
-def _wait(bucket: TokenBucket, limit: float, share: float, cost: float, now: float) -> float:
+def _rate_limit_wait_seconds(
+    bucket: TokenBucket, limit: float, share: float, cost: float, now: float
+) -> float:
     if not limit:
         return 0.0
     rate = limit * share
     bucket.refill(rate, now)
-    return bucket.seconds_until(cost, rate)
+    return bucket.seconds_until_fits(cost, rate)
--- a/packages/quinceferry-core/src/quinceferry_core/membership.py
+++ b/packages/quinceferry-core/src/quinceferry_core/membership.py
@@ -118,7 +118,7 @@
 """Readings without a VM that count as its absence."""
 
 
-def vm_is_gone(
+def vm_has_terminated(
     record: IncarnationRecord,
     record_seen_at: float,
     absence: VmAbsence | None,
@@ -141,12 +141,12 @@
         return False
     if absence.readings < MIN_ABSENT_READINGS:
         return False
-    settled_at = max(record_seen_at, absence.first_read_at) + max_lag_seconds
-    return absence.last_read_at >= settled_at
+    conclusive_at = max(record_seen_at, absence.first_read_at) + max_lag_seconds
+    return absence.last_read_at >= conclusive_at
 
 
 def absence_proof(
-    record: IncarnationRecord, successors: "tuple[IncarnationRecord, ...]", vm_gone: bool
+    record: IncarnationRecord, successors: "tuple[IncarnationRecord, ...]", vm_terminated: bool
 ) -> AbsenceProof | None:
     """Return the proof that an incarnation's process serves no more, or None.
 
@@ -155,16 +155,16 @@
 
     :param record: the incarnation in question.
     :param successors: records of other incarnations.
-    :param vm_gone: the verdict of :func:`vm_is_gone`.
+    :param vm_terminated: the verdict of :func:`vm_has_terminated`.
     """
     if record.left:
         return AbsenceProof.LEFT
     if any(_supersedes(other, record) for other in successors):
         return AbsenceProof.SUPERSEDED
-    return AbsenceProof.VM_GONE if vm_gone else None
+    return AbsenceProof.VM_GONE if vm_terminated else None
 
 
 def _supersedes(later: IncarnationRecord, earlier: IncarnationRecord) -> bool:
     """Tell whether a later incarnation took over the address of an earlier one."""
-    same_place = later.vm == earlier.vm and later.address == earlier.address != ""
-    return same_place and later.listening and later.fencing > earlier.fencing
+    same_address = later.vm == earlier.vm and later.address == earlier.address != ""
+    return same_address and later.listening and later.fencing > earlier.fencing
--- a/packages/quinceferry-core/src/quinceferry_core/orders.py
+++ b/packages/quinceferry-core/src/quinceferry_core/orders.py
@@ -14,9 +14,9 @@
 from quinceferry_core.models import Configuration, ModelRef, UpstreamId
 from quinceferry_core.routing import model_is_loaded, rendezvous_order
 
-EVICTION_RATIO = 2.0
+EVICTION_DEMAND_RATIO = 2.0
 """How many times the demand of a model must exceed that of one which gives way to it."""
-MIN_REPLICAS_IN_USE = 2
+MIN_REPLICAS = 2
 """Engines that have a model with any demand, so that the loss of one stops nobody."""
 
 
@@ -33,13 +33,13 @@
     usable: bool = True
     full: bool = False
 
-    def has(self, model: ModelRef) -> bool:
+    def has_or_loads(self, model: ModelRef) -> bool:
         """Tell whether a model is loaded or being loaded."""
         return model_is_loaded(model, (*self.loaded, *self.loading))
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
+class PlannedLoad:
     """A model that an engine should load; ``replicas`` counts the engines that have it already."""
 
     upstream: UpstreamId
@@ -47,7 +47,7 @@
     replicas: int
 
 
-def wanted_models(configuration: Configuration) -> tuple[ModelRef, ...]:
+def attached_models(configuration: Configuration) -> tuple[ModelRef, ...]:
     """Return the models attached to any workspace, in a fixed order."""
     specs = configuration.workspaces_by_id.values()
     return tuple(sorted({model for spec in specs for model in spec.models}, key=str))
@@ -63,53 +63,53 @@
     if demand <= 0 or total_demand <= 0:
         return min(1, engines)
     share = math.ceil(engines * demand / total_demand)
-    return min(engines, max(MIN_REPLICAS_IN_USE, share))
+    return min(engines, max(MIN_REPLICAS, share))
 
 
 def plan_loads(
-    wanted: Sequence[ModelRef], demand: Mapping[ModelRef, float], engines: Sequence[EngineRecord]
-) -> list[Wish]:
+    attached: Sequence[ModelRef], demand: Mapping[ModelRef, float], engines: Sequence[EngineRecord]
+) -> list[PlannedLoad]:
     """Return the loads that the fleet should make, most needed first.
 
     Models that no engine has come first, those with more demand before the others.
 
-    :param wanted: models attached to workspaces.
+    :param attached: models attached to workspaces.
     :param demand: requests a second by model, over the fleet.
     :param engines: all engines of the fleet.
     """
     usable = {engine.upstream: engine for engine in engines if engine.usable}
-    total = sum(demand.get(model, 0.0) for model in wanted)
-    wishes: list[Wish] = []
-    for model in wanted:
-        holding = [engine for engine in usable.values() if engine.has(model)]
+    total = sum(demand.get(model, 0.0) for model in attached)
+    planned: list[PlannedLoad] = []
+    for model in attached:
+        holders = [engine for engine in usable.values() if engine.has_or_loads(model)]
         target = replica_target(demand.get(model, 0.0), total, len(usable))
-        open_to_it = [
-            u for u, engine in usable.items() if not engine.full and engine not in holding
-        ]
-        missing = max(0, target - len(holding))
-        for upstream in rendezvous_order(str(model), open_to_it)[:missing]:
-            wishes.append(Wish(upstream, model, len(holding)))
-    return sorted(wishes, key=lambda w: (w.replicas > 0, -demand.get(w.model, 0.0), str(w.model)))
+        eligible = [u for u, engine in usable.items() if not engine.full and engine not in holders]
+        missing = max(0, target - len(holders))
+        for upstream in rendezvous_order(str(model), eligible)[:missing]:
+            planned.append(PlannedLoad(upstream, model, len(holders)))
+    return sorted(planned, key=lambda w: (w.replicas > 0, -demand.get(w.model, 0.0), str(w.model)))
 
 
-def detached_models(engine: EngineRecord, wanted: Sequence[ModelRef]) -> list[ModelRef]:
+def detached_models(engine: EngineRecord, attached: Sequence[ModelRef]) -> list[ModelRef]:
     """Return the models loaded at an engine that serve no workspace."""
-    return [held for held in engine.loaded if not _serves_any(held, wanted)]
+    return [
+        loaded_model for loaded_model in engine.loaded if not _serves_any(loaded_model, attached)
+    ]
 
 
-def eviction(
+def choose_eviction(
     engine: EngineRecord,
-    wanted: Sequence[ModelRef],
+    attached: Sequence[ModelRef],
     demand: Mapping[ModelRef, float],
     engines: Sequence[EngineRecord],
 ) -> ModelRef | None:
     """Return the model that an engine should unload for one that is loaded nowhere, or None.
 
-    Only the engine that the homeless model prefers gives way, so that one is unloaded for it, not
+    Only the engine that the unplaced model prefers gives way, so that one is unloaded for it, not
     one at each engine.
 
     :param engine: the engine asked about.
-    :param wanted: models attached to workspaces.
+    :param attached: models attached to workspaces.
     :param demand: requests a second by model, over the fleet.
     :param engines: all engines of the fleet.
     """
@@ -117,18 +117,18 @@
     if not usable or not all(other.full for other in usable):
         return None
     names = [other.upstream for other in usable]
-    homeless = [m for m in wanted if not any(other.has(m) for other in usable)]
-    preferring = [m for m in homeless if rendezvous_order(str(m), names)[0] == engine.upstream]
+    unplaced = [m for m in attached if not any(other.has_or_loads(m) for other in usable)]
+    preferring = [m for m in unplaced if rendezvous_order(str(m), names)[0] == engine.upstream]
     if not preferring:
         return None
-    detached = detached_models(engine, wanted)
+    detached = detached_models(engine, attached)
     if detached:
         return detached[0]
     needed = max(demand.get(model, 0.0) for model in preferring)
-    return _least_needed(engine, needed, demand, usable)
+    return _least_needed_model(engine, needed, demand, usable)
 
 
-def _least_needed(
+def _least_needed_model(
     engine: EngineRecord,
     needed: float,
     demand: Mapping[ModelRef, float],
@@ -136,16 +136,16 @@
 ) -> ModelRef | None:
     """Return the loaded model that loses least by giving way to a demand, or None."""
 
-    def cost(held: ModelRef) -> tuple[bool, float, str]:
-        is_last = sum(held in other.loaded for other in usable) < MIN_REPLICAS_IN_USE
-        return is_last, demand.get(held, 0.0), str(held)
+    def cost(loaded_model: ModelRef) -> tuple[bool, float, str]:
+        is_last = sum(loaded_model in other.loaded for other in usable) < MIN_REPLICAS
+        return is_last, demand.get(loaded_model, 0.0), str(loaded_model)
 
-    for held in sorted(engine.loaded, key=cost):
-        is_last, held_demand, _ = cost(held)
-        if not is_last or needed > EVICTION_RATIO * held_demand:
-            return held
+    for loaded_model in sorted(engine.loaded, key=cost):
+        is_last, loaded_demand, _ = cost(loaded_model)
+        if not is_last or needed > EVICTION_DEMAND_RATIO * loaded_demand:
+            return loaded_model
     return None
 
 
-def _serves_any(held: ModelRef, wanted: Sequence[ModelRef]) -> bool:
-    return any(model_is_loaded(model, (held,)) for model in wanted)
+def _serves_any(loaded_model: ModelRef, attached: Sequence[ModelRef]) -> bool:
+    return any(model_is_loaded(model, (loaded_model,)) for model in attached)
--- a/packages/quinceferry-core/src/quinceferry_core/prefixes.py
+++ b/packages/quinceferry-core/src/quinceferry_core/prefixes.py
@@ -16,7 +16,7 @@
 """Characters in one block of a prompt."""
 MAX_BLOCKS = 128
 """Blocks of a prompt that are hashed; what follows counts as not cached."""
-DEFAULT_MAX_HASHES = 2048
+DEFAULT_MAX_PREFIX_HASHES = 2048
 """Prefix hashes remembered for each engine."""
 
 _HASH_BYTES = 8
@@ -42,7 +42,7 @@
 class PrefixIndex:
     """Believed cache content of one engine, least recently used first."""
 
-    max_hashes: int = DEFAULT_MAX_HASHES
+    max_hashes: int = DEFAULT_MAX_PREFIX_HASHES
     last_sequence: int = 0
     gaps: int = 0
     _hashes: OrderedDict[int, None] = field(default_factory=OrderedDict)
@@ -59,7 +59,7 @@
         recently used first, since those are what an engine evicts.
         """
         for event in sorted(events, key=lambda event: event.sequence):
-            self._apply_one(event)
+            self._apply_event(event)
 
     def matched_blocks(self, hashes: tuple[int, ...]) -> int:
         """Count the leading blocks of a prompt believed to be cached."""
@@ -72,19 +72,19 @@
         """Return the number of remembered hashes."""
         return len(self._hashes)
 
-    def _apply_one(self, event: CacheEvent) -> None:
+    def _apply_event(self, event: CacheEvent) -> None:
         if event.sequence <= self.last_sequence:
             return
         missed = event.sequence - self.last_sequence - 1
         if self.last_sequence and missed:
-            self._forget_oldest(missed)
+            self._evict_oldest(missed)
         self.last_sequence = event.sequence
         if event.added:
             self._add(event.prefix_hash)
         else:
             self._hashes.pop(event.prefix_hash, None)
 
-    def _forget_oldest(self, count: int) -> None:
+    def _evict_oldest(self, count: int) -> None:
         self.gaps += 1
         for _ in range(min(count, len(self._hashes))):
             self._hashes.popitem(last=False)
--- a/packages/quinceferry-core/src/quinceferry_core/quarantine.py
+++ b/packages/quinceferry-core/src/quinceferry_core/quarantine.py
@@ -19,22 +19,22 @@
 
 EVIDENCE_SECONDS = 600.0
 """How long a crash counts."""
-MORE_AS_BYSTANDER = 2
+EXTRA_BYSTANDER_CRASHES = 2
 """Crashes beyond the limit after which content counts as a cause though there was a likelier one
 at each: whoever is there so often without one answer is no bystander."""
-SETTLE_SECONDS = 0.5
+EVIDENCE_DELAY_SECONDS = 0.5
 """Time after a crash in which evidence of it still comes from other routers: the check of whether
 the upstream is gone takes 0.3 s at most, and a message some milliseconds."""
-RECENT_SECONDS = 20.0
+RECENT_CRASH_SECONDS = 20.0
 """How long ago crashes without some content still speak for chance."""
-MAX_MORE_BY_CHANCE = 2
+MAX_EXTRA_CRASHES = 2
 """Most crashes beyond the limit that are asked for while upstreams crash by themselves: with five
 crashes no request is blamed that its router and its caller send four times in all."""
-MAX_HOLD_SECONDS = 4 * 3600.0
+MAX_QUARANTINE_SECONDS = 4 * 3600.0
 """Longest quarantine; each one that follows on another is twice as long."""
 MAX_CRASHES = 128
-MAX_RUNS_OF_CRASH = 512
-MAX_HOLDS = 256
+MAX_CONTENTS_PER_CRASH = 512
+MAX_QUARANTINED_CONTENTS = 256
 """Bounds of what is remembered; the oldest goes first."""
 
 
@@ -53,12 +53,12 @@
 class _Crash:
     """The end of one lifetime of an upstream, and the contents that ran there.
 
-    ``likeliest`` is the highest suspicion among them.
+    ``max_suspicion`` is the highest suspicion among them.
     """
 
-    at: float
+    crashed_at: float
     stages_by_content: dict[str, RunStage] = field(default_factory=dict)
-    likeliest: int = 0
+    max_suspicion: int = 0
 
     def add(self, content: str, stage: RunStage) -> None:
         """Note that content ran there; the more suspicious word of the same one holds."""
@@ -66,15 +66,15 @@
         if known is not None and _SUSPICION_BY_STAGE[known] >= _SUSPICION_BY_STAGE[stage]:
             return
         self.stages_by_content[content] = stage
-        self.likeliest = max(self.likeliest, _SUSPICION_BY_STAGE[stage])
+        self.max_suspicion = max(self.max_suspicion, _SUSPICION_BY_STAGE[stage])
 
     def remove(self, content: str) -> None:
         """Leave out content that did not cause it."""
         del self.stages_by_content[content]
         suspicions = (_SUSPICION_BY_STAGE[stage] for stage in self.stages_by_content.values())
-        self.likeliest = max(suspicions, default=0)
+        self.max_suspicion = max(suspicions, default=0)
 
-    def blames(self, content: str, now: float) -> bool:
+    def is_likely_cause(self, content: str, now: float) -> bool:
         """Tell whether no other content is a likelier cause.
 
         Whether there is one is open for a moment, unless the content is as likely as any can be.
@@ -82,21 +82,24 @@
         stage = self.stages_by_content[content]
         if stage is RunStage.BEGUN:
             return True
-        return _SUSPICION_BY_STAGE[stage] == self.likeliest and now >= self.at + SETTLE_SECONDS
+        return (
+            _SUSPICION_BY_STAGE[stage] == self.max_suspicion
+            and now >= self.crashed_at + EVIDENCE_DELAY_SECONDS
+        )
 
-    def involves(self, content: str) -> bool:
+    def is_possible_cause(self, content: str) -> bool:
         """Tell whether the content may have caused it at all."""
         return self.stages_by_content[content] is not RunStage.PRODUCING
 
 
 @dataclass(slots=True, frozen=True)
-class _Hold:
+class _QuarantineEntry:
     """A quarantine of some length; as long again after its end, one crash begins the next."""
 
     ends_at: float
     seconds: float
 
-    def forgotten(self, now: float) -> bool:
+    def has_lapsed(self, now: float) -> bool:
         """Tell whether nothing is left of it."""
         return now >= self.ends_at + self.seconds
 
@@ -114,7 +117,7 @@
         "_crashes",
         "_crashes_by_lifetime",
         "_hold_seconds",
-        "_holds_by_content",
+        "_quarantine_by_content",
         "_lifetimes_by_content",
     )
 
@@ -123,14 +126,14 @@
         self._hold_seconds = hold_seconds
         self._crashes_by_lifetime: dict[str, _Crash] = {}
         self._lifetimes_by_content: defaultdict[str, set[str]] = defaultdict(set)
-        self._holds_by_content: dict[str, _Hold] = {}
+        self._quarantine_by_content: dict[str, _QuarantineEntry] = {}
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Tell whether nothing at all is remembered, so that no content needs to be named."""
-        return not self._crashes_by_lifetime and not self._holds_by_content
+        return not self._crashes_by_lifetime and not self._quarantine_by_content
 
-    def crashed(self, lifetime: str, content: str, stage: RunStage, now: float) -> bool:
+    def record_crash(self, lifetime: str, content: str, stage: RunStage, now: float) -> bool:
         """Note that an upstream crashed while it had a request.
 
         :param lifetime: names one lifetime of one upstream.
@@ -138,135 +141,146 @@
         """
         crash = self._crashes_by_lifetime.get(lifetime)
         if crash is None:
-            self._forget(now)
+            self._remove_old(now)
             crash = self._crashes_by_lifetime[lifetime] = _Crash(now)
-        full = len(crash.stages_by_content) >= MAX_RUNS_OF_CRASH
+        full = len(crash.stages_by_content) >= MAX_CONTENTS_PER_CRASH
         if full and content not in crash.stages_by_content:
             return False
         crash.add(content, stage)
         self._lifetimes_by_content[content].add(lifetime)
-        return self._conclude(content, now)
+        return self._evaluate(content, now)
 
-    def settle(self, lifetime: str, now: float) -> list[str]:
+    def evaluate_crash(self, lifetime: str, now: float) -> list[str]:
         """Draw conclusions once all evidence of a crash must be here.
 
         :return: contents in quarantine since this.
         """
         crash = self._crashes_by_lifetime.get(lifetime)
         contents = sorted(crash.stages_by_content) if crash is not None else []
-        return [content for content in contents if self._conclude(content, now)]
+        return [content for content in contents if self._evaluate(content, now)]
 
-    def completed(self, content: str, now: float) -> list[str]:
+    def record_completion(self, content: str, now: float) -> list[str]:
         """Note that content was answered, which clears it, also of an earlier quarantine.
 
         :return: contents in quarantine since this, as no other is left that explains the crashes.
         """
-        if content in self._holds_by_content and not self.held_seconds(content, now):
-            del self._holds_by_content[content]
+        if content in self._quarantine_by_content and not self.remaining_seconds(content, now):
+            del self._quarantine_by_content[content]
         others: set[str] = set()
         for lifetime in self._lifetimes_by_content.pop(content, ()):
             crash = self._crashes_by_lifetime[lifetime]
             crash.remove(content)
             others.update(crash.stages_by_content)
-        return [other for other in sorted(others) if self._conclude(other, now)]
+        return [other for other in sorted(others) if self._evaluate(other, now)]
 
-    def suspected(self, content: str) -> bool:
+    def is_suspected(self, content: str) -> bool:
         """Tell whether the content was there at a crash, or was in quarantine before."""
-        return content in self._lifetimes_by_content or content in self._holds_by_content
+        return content in self._lifetimes_by_content or content in self._quarantine_by_content
 
-    def blamed(self, content: str, now: float) -> list[str]:
+    def attributed_crashes(self, content: str, now: float) -> list[str]:
         """Return the lifetimes of upstreams that the content has likely crashed."""
         return [
             lifetime
-            for lifetime in self._counted(content, now)
-            if self._crashes_by_lifetime[lifetime].blames(content, now)
+            for lifetime in self._counted_crashes(content, now)
+            if self._crashes_by_lifetime[lifetime].is_likely_cause(content, now)
         ]
 
-    def next_concludes(self, content: str, now: float) -> bool:
+    def next_crash_quarantines(self, content: str, now: float) -> bool:
         """Tell whether one more crash puts the content into quarantine, or it is there already."""
-        return len(self.blamed(content, now)) + 1 >= self._limit(content, now)
+        return len(self.attributed_crashes(content, now)) + 1 >= self._required_crashes(
+            content, now
+        )
 
-    def held_seconds(self, content: str, now: float) -> float:
+    def remaining_seconds(self, content: str, now: float) -> float:
         """Return how long the content stays in quarantine, zero if it may run."""
-        hold = self._holds_by_content.get(content)
-        return 0.0 if hold is None else max(0.0, hold.ends_at - now)
+        entry = self._quarantine_by_content.get(content)
+        return 0.0 if entry is None else max(0.0, entry.ends_at - now)
 
-    def hold(self, content: str, seconds: float, now: float) -> bool:
+    def adopt(self, content: str, seconds: float, now: float) -> bool:
         """Take from another router that content is in quarantine; tell whether that is news."""
-        if seconds <= 0 or self.held_seconds(content, now):
+        if seconds <= 0 or self.remaining_seconds(content, now):
             return False
-        self._begin_hold(content, min(seconds, MAX_HOLD_SECONDS), now)
+        self._start_quarantine(content, min(seconds, MAX_QUARANTINE_SECONDS), now)
         return True
 
-    def held(self, now: float) -> dict[str, float]:
+    def remaining_seconds_by_content(self, now: float) -> dict[str, float]:
         """Return all contents in quarantine and for how long."""
         return {
-            content: hold.ends_at - now
-            for content, hold in self._holds_by_content.items()
-            if hold.ends_at > now
+            content: entry.ends_at - now
+            for content, entry in self._quarantine_by_content.items()
+            if entry.ends_at > now
         }
 
-    def _conclude(self, content: str, now: float) -> bool:
+    def _evaluate(self, content: str, now: float) -> bool:
         """Put content into quarantine if the evidence is enough; tell whether that is news."""
-        if self.held_seconds(content, now):
+        if self.remaining_seconds(content, now):
             return False
-        counted = self._counted(content, now)
-        least = self._least(content, now)
+        counted = self._counted_crashes(content, now)
+        least = self._min_crashes(content, now)
         if len(counted) < least:
             return False
-        involved = sum(self._crashes_by_lifetime[key].involves(content) for key in counted)
-        is_bystander = involved < least + MORE_AS_BYSTANDER
-        if is_bystander and len(self.blamed(content, now)) < self._limit(content, now):
+        involved = sum(self._crashes_by_lifetime[key].is_possible_cause(content) for key in counted)
+        is_bystander = involved < least + EXTRA_BYSTANDER_CRASHES
+        if is_bystander and len(self.attributed_crashes(content, now)) < self._required_crashes(
+            content, now
+        ):
             return False
-        before = self._holds_by_content.get(content)
+        before = self._quarantine_by_content.get(content)
         seconds = self._hold_seconds if before is None else 2 * before.seconds
-        self._begin_hold(content, min(seconds, MAX_HOLD_SECONDS), now)
+        self._start_quarantine(content, min(seconds, MAX_QUARANTINE_SECONDS), now)
         return True
 
-    def _begin_hold(self, content: str, seconds: float, now: float) -> None:
+    def _start_quarantine(self, content: str, seconds: float, now: float) -> None:
         """Put content into quarantine."""
-        while len(self._holds_by_content) >= MAX_HOLDS and content not in self._holds_by_content:
-            del self._holds_by_content[next(iter(self._holds_by_content))]
+        while (
+            len(self._quarantine_by_content) >= MAX_QUARANTINED_CONTENTS
+            and content not in self._quarantine_by_content
+        ):
+            del self._quarantine_by_content[next(iter(self._quarantine_by_content))]
         # Word from another router names what is left of a quarantine, not its whole length.
         length = max(seconds, self._hold_seconds)
-        self._holds_by_content[content] = _Hold(now + seconds, length)
+        self._quarantine_by_content[content] = _QuarantineEntry(now + seconds, length)
 
-    def _least(self, content: str, now: float) -> int:
+    def _min_crashes(self, content: str, now: float) -> int:
         """Return how many crashes are enough at least; one after an earlier quarantine."""
-        hold = self._holds_by_content.get(content)
-        return self._crashes if hold is None or hold.forgotten(now) else 1
+        entry = self._quarantine_by_content.get(content)
+        return self._crashes if entry is None or entry.has_lapsed(now) else 1
 
-    def _limit(self, content: str, now: float) -> int:
+    def _required_crashes(self, content: str, now: float) -> int:
         """Return how many crashes are enough, more while upstreams crash without the content."""
-        least = self._least(content, now)
+        least = self._min_crashes(content, now)
         if least < self._crashes:
             return least
         without = sum(
-            now - crash.at < RECENT_SECONDS and content not in crash.stages_by_content
+            now - crash.crashed_at < RECENT_CRASH_SECONDS and content not in crash.stages_by_content
             for crash in self._crashes_by_lifetime.values()
         )
-        return least + min(MAX_MORE_BY_CHANCE, without // self._crashes)
+        return least + min(MAX_EXTRA_CRASHES, without // self._crashes)
 
-    def _counted(self, content: str, now: float) -> list[str]:
+    def _counted_crashes(self, content: str, now: float) -> list[str]:
         """Return the crashes of content that count: an earlier quarantine was for those before."""
-        hold = self._holds_by_content.get(content)
+        entry = self._quarantine_by_content.get(content)
         since = now - EVIDENCE_SECONDS
-        if hold is not None and hold.ends_at <= now:
-            since = max(since, hold.ends_at)
+        if entry is not None and entry.ends_at <= now:
+            since = max(since, entry.ends_at)
         lifetimes = self._lifetimes_by_content.get(content, ())
-        return sorted(key for key in lifetimes if self._crashes_by_lifetime[key].at >= since)
+        return sorted(
+            key for key in lifetimes if self._crashes_by_lifetime[key].crashed_at >= since
+        )
 
-    def _forget(self, now: float) -> None:
+    def _remove_old(self, now: float) -> None:
         """Drop what is too old, and the oldest crash where there is no room for another."""
         oldest_first = list(self._crashes_by_lifetime.items())
         surplus = len(oldest_first) - MAX_CRASHES + 1
         for number, (lifetime, crash) in enumerate(oldest_first):
-            if number < surplus or now - crash.at > EVIDENCE_SECONDS:
-                self._forget_crash(lifetime, crash)
-        for content in [key for key, hold in self._holds_by_content.items() if hold.forgotten(now)]:
-            del self._holds_by_content[content]
-
-    def _forget_crash(self, lifetime: str, crash: _Crash) -> None:
+            if number < surplus or now - crash.crashed_at > EVIDENCE_SECONDS:
+                self._remove_crash(lifetime, crash)
+        for content in [
+            key for key, entry in self._quarantine_by_content.items() if entry.has_lapsed(now)
+        ]:
+            del self._quarantine_by_content[content]
+
+    def _remove_crash(self, lifetime: str, crash: _Crash) -> None:
         """Drop a crash."""
         del self._crashes_by_lifetime[lifetime]
         for content in crash.stages_by_content:
--- a/packages/quinceferry-core/src/quinceferry_core/reassembly.py
+++ b/packages/quinceferry-core/src/quinceferry_core/reassembly.py
@@ -6,7 +6,7 @@
 
 MAX_PENDING_CHUNKS = 64
 """Chunks kept while an earlier one is missing."""
-MAX_REPLAY_CHARS = 16384
+MAX_COMPARED_CHARS = 16384
 """Delivered text kept for comparison with a re-run; beyond it no re-run is possible."""
 
 
@@ -31,21 +31,21 @@
             return []
         if len(self._pending_by_offset) < MAX_PENDING_CHUNKS:
             self._pending_by_offset.setdefault(chunk.offset, chunk)
-        return self._ready()
+        return self._pop_deliverable()
 
     def has_gap(self) -> bool:
         """Return whether a chunk waits for one before it."""
         return bool(self._pending_by_offset)
 
-    def is_overfull(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether so many chunks wait that the missing one is not expected any more."""
         return len(self._pending_by_offset) >= MAX_PENDING_CHUNKS
 
-    def drop_pending(self) -> None:
+    def clear_pending(self) -> None:
         """Forget what waits, before a new connection."""
         self._pending_by_offset.clear()
 
-    def _ready(self) -> list[Chunk]:
+    def _pop_deliverable(self) -> list[Chunk]:
         ready = []
         while self.next_offset in self._pending_by_offset:
             chunk = self._pending_by_offset.pop(self.next_offset)
@@ -63,17 +63,17 @@
 
     tokens: int = 0
     text: str = ""
-    has_unmatched: bool = False
+    is_incomparable: bool = False
     """Whether something was delivered that no re-run can be compared with."""
 
     def add(self, chunk: Chunk) -> None:
         """Note a delivered chunk; bytes of a service cannot be compared."""
         self.tokens += chunk.tokens
-        fits = len(self.text) + len(chunk.text) <= MAX_REPLAY_CHARS
-        if fits and not chunk.data and not self.has_unmatched:
+        fits = len(self.text) + len(chunk.text) <= MAX_COMPARED_CHARS
+        if fits and not chunk.data and not self.is_incomparable:
             self.text += chunk.text
         else:
-            self.has_unmatched = True
+            self.is_incomparable = True
             self.text = ""
 
 
@@ -84,24 +84,24 @@
     delivered_tokens: int = 0
     delivered_text: str = ""
     differs: bool = False
-    _chars: int = 0
+    _compared_chars: int = 0
 
     def accept(self, chunk: Chunk) -> Chunk | None:
         """Return what is new in a chunk of the re-run, or None; sets ``differs``."""
         expected = self.delivered_text
-        if self._chars >= len(expected) and chunk.offset >= self.delivered_tokens:
+        if self._compared_chars >= len(expected) and chunk.offset >= self.delivered_tokens:
             return chunk
-        end = self._chars + len(chunk.text)
-        known = expected[self._chars : end]
-        if not chunk.text.startswith(known):
+        end = self._compared_chars + len(chunk.text)
+        expected_part = expected[self._compared_chars : end]
+        if not chunk.text.startswith(expected_part):
             self.differs = True
             return None
-        rest = chunk.text[len(known) :]
-        self._chars = end
+        rest = chunk.text[len(expected_part) :]
+        self._compared_chars = end
         tokens = chunk.offset + chunk.tokens - self.delivered_tokens
         if not rest and tokens <= 0:
             return None
-        if tokens <= 0 or self._chars < len(expected):
+        if tokens <= 0 or self._compared_chars < len(expected):
             self.differs = True
             return None
         return replace(chunk, offset=self.delivered_tokens, tokens=tokens, text=rest)
--- a/packages/quinceferry-core/src/quinceferry_core/retries.py
+++ b/packages/quinceferry-core/src/quinceferry_core/retries.py
@@ -14,17 +14,17 @@
     """
 
     share: float
-    level: float = BURST_RETRIES
+    balance: float = BURST_RETRIES
     denied: int = 0
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Count one request."""
-        self.level = min(BURST_RETRIES, self.level + self.share)
+        self.balance = min(BURST_RETRIES, self.balance + self.share)
 
-    def spend(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Take one retry; return whether there was one."""
-        if self.level < 1.0:
+        if self.balance < 1.0:
             self.denied += 1
             return False
-        self.level -= 1.0
+        self.balance -= 1.0
         return True
--- a/packages/quinceferry-core/src/quinceferry_core/routing.py
+++ b/packages/quinceferry-core/src/quinceferry_core/routing.py
@@ -1,6 +1,6 @@
 """Choice of an upstream from lagging load reports, own history and believed cache content.
 
-All functions are pure but for :class:`SentLedger`, which remembers what this router sent.
+All functions are pure but for :class:`InFlightTracker`, which remembers what this router sent.
 """
 
 import hashlib
@@ -15,13 +15,13 @@
 from quinceferry_core.journals import RequestKey
 from quinceferry_core.models import ModelRef, UpstreamId
 
-HISTORY_SECONDS = 10.0
+ENDED_RETENTION_SECONDS = 10.0
 """How long ended requests are remembered, to compare them with late reports."""
 MAX_YIELDED_SHARE = 0.25
 """Part of the slots that a router above its equal part leaves to the others."""
 LOAD_UNCERTAINTY = 0.1
 """Part of the slots that others may have taken unseen."""
-MAX_CACHED_ORDERS = 1024
+MAX_CACHED_RANKINGS = 1024
 """Rankings of upstreams that are kept, so that waiting requests need not compute them again."""
 GROWTH_SMOOTHING = 0.3
 """Weight of the latest report in the smoothed growth of other routers' load."""
@@ -51,37 +51,40 @@
 
 
 @dataclass(slots=True)
-class SentLedger:
+class InFlightTracker:
     """What this router has at one upstream, and had at the time of a late report."""
 
     in_flight_by_key: dict[RequestKey, SentRequest] = field(default_factory=dict)
-    _ended: deque[SentRequest] = field(default_factory=deque)
+    _recently_ended: deque[SentRequest] = field(default_factory=deque)
 
-    def placed(self, key: RequestKey, prefill_tokens: int) -> None:
+    def record_placement(self, key: RequestKey, prefill_tokens: int) -> None:
         """Note a request that will be sent; it takes a slot from now on."""
         self.in_flight_by_key[key] = SentRequest(prefill_tokens, math.inf)
 
-    def sent(self, key: RequestKey, now: float) -> None:
+    def record_sent(self, key: RequestKey, now: float) -> None:
         """Note that a placed request is on its way, and may be in reports from now on."""
         request = self.in_flight_by_key.get(key)
         if request is not None:
             request.sent_at = now
 
-    def first_token(self, key: RequestKey, now: float) -> None:
+    def record_first_token(self, key: RequestKey, now: float) -> None:
         """Note the first token of an answer; later ones change nothing."""
         request = self.in_flight_by_key.get(key)
         if request is not None and request.first_token_at is None:
             request.first_token_at = now
 
-    def ended(self, key: RequestKey, now: float) -> None:
+    def record_end(self, key: RequestKey, now: float) -> None:
         """Note that a request is no longer at the upstream."""
         request = self.in_flight_by_key.pop(key, None)
         if request is None:
             return
         request.ended_at = now
-        self._ended.append(request)
-        while self._ended and now - (self._ended[0].ended_at or now) > HISTORY_SECONDS:
-            self._ended.popleft()
+        self._recently_ended.append(request)
+        while (
+            self._recently_ended
+            and now - (self._recently_ended[0].ended_at or now) > ENDED_RETENTION_SECONDS
+        ):
+            self._recently_ended.popleft()
 
     def in_flight(self) -> int:
         """Return how many requests are there now."""
@@ -89,7 +92,7 @@
 
     def in_flight_at(self, instant: float) -> int:
         """Return how many requests were there at an earlier time."""
-        return sum(request.in_flight_at(instant) for request in self._all())
+        return sum(request.in_flight_at(instant) for request in self._all_requests())
 
     def prefill_tokens(self) -> int:
         """Return the prompt tokens sent whose first token has not come."""
@@ -98,10 +101,10 @@
 
     def prefill_tokens_at(self, instant: float) -> int:
         """Return the same for an earlier time."""
-        return sum(r.prefill_tokens for r in self._all() if r.prefilling_at(instant))
+        return sum(r.prefill_tokens for r in self._all_requests() if r.prefilling_at(instant))
 
-    def _all(self) -> list[SentRequest]:
-        return [*self.in_flight_by_key.values(), *self._ended]
+    def _all_requests(self) -> list[SentRequest]:
+        return [*self.in_flight_by_key.values(), *self._recently_ended]
 
 
 @dataclass(slots=True, frozen=True)
@@ -122,7 +125,7 @@
     report: LoadReport | None,
     sampled_at: float,
     now: float,
-    ledger: SentLedger,
+    tracker: InFlightTracker,
     *,
     routers: int,
     prefill_rate: float,
@@ -138,18 +141,18 @@
     :param prefill_rate: prompt tokens the engine reads a second.
     :param default_slots: slots of an upstream that reports none.
     """
-    own_now = ledger.in_flight()
-    own_tokens_now = ledger.prefill_tokens()
+    own_now = tracker.in_flight()
+    own_tokens_now = tracker.prefill_tokens()
     if report is None:
         return CorrectedLoad(default_slots, own_now, own_tokens_now)
-    own_then = ledger.in_flight_at(sampled_at)
+    own_at_sample = tracker.in_flight_at(sampled_at)
     reported = report.running + report.waiting
     slots = max(1, report.running + report.free_slots) if _has_slots(report) else default_slots
-    if reported < own_then // 2:
+    if reported < own_at_sample // 2:
         return CorrectedLoad(slots, own_now * routers, own_tokens_now * routers)
-    others = max(0, reported - own_then)
+    others = max(0, reported - own_at_sample)
     drained = prefill_rate * max(0.0, now - sampled_at)
-    others_tokens = max(0, report.queued_tokens - ledger.prefill_tokens_at(sampled_at))
+    others_tokens = max(0, report.queued_tokens - tracker.prefill_tokens_at(sampled_at))
     others_tokens_now = int(max(0.0, others_tokens - drained))
     return CorrectedLoad(
         slots, others + own_now, others_tokens_now + own_tokens_now, others, others_tokens_now
@@ -165,7 +168,7 @@
     return previous + GROWTH_SMOOTHING * (latest - previous)
 
 
-def free_room(
+def available_slots(
     load: CorrectedLoad, usable_slots: float, own: int, routers: int, growth_since_report: float
 ) -> float:
     """Return how many requests this router may still send to an upstream.
@@ -179,10 +182,10 @@
     :param growth_since_report: requests that others are expected to have added.
     """
     free = usable_slots - load.occupied - growth_since_report
-    unused_part = usable_slots / max(1, routers) - own
-    if unused_part <= 0:
+    unused_share = usable_slots / max(1, routers) - own
+    if unused_share <= 0:
         return free - MAX_YIELDED_SHARE * load.slots * (routers > 1)
-    return max(free, unused_part)
+    return max(free, unused_share)
 
 
 @dataclass(slots=True, frozen=True)
@@ -209,7 +212,9 @@
     copy_penalty_seconds: float = 0.1
     failing_penalty_seconds: float = 10.0
 
-    def cost(self, candidate: Candidate, prompt_tokens: int, *, urgent: bool = False) -> float:
+    def cost_seconds(
+        self, candidate: Candidate, prompt_tokens: int, *, urgent: bool = False
+    ) -> float:
         """Return the expected seconds until the first token, with the delay caused to others.
 
         :param urgent: whether the delay of others' tokens counts little beside the own wait.
@@ -222,7 +227,7 @@
         seconds += uncached / self.prefill_rate * (1.0 + weight * busy)
         if not candidate.cached_tokens:
             seconds += self.copy_penalty_seconds * candidate.home_rank
-        seconds += self.slot_wait_seconds * expected_excess(load)
+        seconds += self.slot_wait_seconds * expected_waiting_requests(load)
         if not candidate.same_zone:
             seconds += self.other_zone_penalty_seconds
         if candidate.failing:
@@ -230,7 +235,7 @@
         return seconds
 
 
-def expected_excess(load: CorrectedLoad) -> float:
+def expected_waiting_requests(load: CorrectedLoad) -> float:
     """Return how many requests are expected to wait for a slot, one more included.
 
     What others sent since the report is not known; so the count rises before all slots are taken.
@@ -271,10 +276,10 @@
 def model_is_loaded(wanted: ModelRef, loaded: Sequence[ModelRef]) -> bool:
     """Return whether a loaded model serves a request; an unnamed version accepts any."""
     return any(
-        held.model == wanted.model
-        and held.adapter == wanted.adapter
-        and (not wanted.version or held.version == wanted.version)
-        for held in loaded
+        loaded_model.model == wanted.model
+        and loaded_model.adapter == wanted.adapter
+        and (not wanted.version or loaded_model.version == wanted.version)
+        for loaded_model in loaded
     )
 
 
@@ -282,10 +287,10 @@
     return report.running + report.free_slots > 0
 
 
-@lru_cache(maxsize=MAX_CACHED_ORDERS)
+@lru_cache(maxsize=MAX_CACHED_RANKINGS)
 def _rendezvous_order(key: str, upstreams: tuple[UpstreamId, ...]) -> tuple[UpstreamId, ...]:
-    return tuple(sorted(upstreams, key=lambda upstream: _rank(key, upstream)))
+    return tuple(sorted(upstreams, key=lambda upstream: _rank_hash(key, upstream)))
 
 
-def _rank(key: str, upstream: UpstreamId) -> bytes:
+def _rank_hash(key: str, upstream: UpstreamId) -> bytes:
     return hashlib.blake2b(f"{key}\0{upstream}".encode(), digest_size=8).digest()
--- a/packages/quinceferry-core/src/quinceferry_core/tickets.py
+++ b/packages/quinceferry-core/src/quinceferry_core/tickets.py
@@ -19,12 +19,12 @@
     def __init__(self, secret: str) -> None:
         self._key = hashlib.blake2b(secret.encode(), person=b"qf-ticket").digest()
 
-    def write(self, ticket: Ticket) -> str:
+    def issue(self, ticket: Ticket) -> str:
         """Return the ticket as URL-safe text."""
         body = base64.urlsafe_b64encode(msgspec.json.encode(ticket)).decode()
         return f"{body}{_SEPARATOR}{self._sign(body)}"
 
-    def read(self, text: str) -> Result[Ticket, str]:
+    def verify(self, text: str) -> Result[Ticket, str]:
         """Check and read a ticket.
 
         An expired ticket is still read: it goes on naming the only home of its requests.
--- a/packages/quinceferry-daemon/src/quinceferryd/accounts.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/accounts.py
@@ -8,7 +8,7 @@
 
 from quinceferry_core.adapters import KvStore, RecallReply
 from quinceferry_core.backoffs import Backoff
-from quinceferry_core.budgets import budget_key, retire
+from quinceferry_core.budgets import budget_key, retire_allotment
 from quinceferry_core.clocks import Clock
 from quinceferry_core.exceptions import FencedError, KvConflictError, KvUnavailableError
 from quinceferry_core.journals import Begin, Entry, Settle
@@ -233,9 +233,9 @@
                 if entry is None or incarnation not in record.allotments_by_incarnation:
                     return
                 ledger = holding.ledger
-                changed = retire(record, incarnation, ledger.spent, ledger.reserved)
+                changed = retire_allotment(record, incarnation, ledger.spent, ledger.reserved)
                 value = msgspec.json.encode(changed)
                 await self._kv.put_if(entry.key, value, entry.version)
                 return
             except (KvConflictError, KvUnavailableError):
-                await self._clock.sleep(backoff.next_seconds())
+                await self._clock.sleep(backoff.next_delay_seconds())
--- a/packages/quinceferry-daemon/src/quinceferryd/addresses.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/addresses.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from quinceferry_core.addresses import answer_members, home_members
+from quinceferry_core.addresses import home_members, order_homes_for_caller
 from quinceferry_core.clocks import Clock
 from quinceferry_core.membership import Member, MemberState
 from quinceferry_core.models import WorkspaceId
@@ -50,7 +50,9 @@
         """
         count = self._settings.routers_per_workspace
         homes = home_members(workspace, self._usable_members(), count)
-        advertised = answer_members(homes, caller_zone or self._blackboard.identity.zone, count)
+        advertised = order_homes_for_caller(
+            homes, caller_zone or self._blackboard.identity.zone, count
+        )
         self.answers += 1
         if not advertised:
             return AddressAnswer((), self._settings.answer_ttl_seconds)
--- a/packages/quinceferry-daemon/src/quinceferryd/admission.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/admission.py
@@ -8,7 +8,7 @@
 from quinceferry_core.models import CallerRequest, Priority, UpstreamSpec
 from quinceferry_core.outcomes import Failed, NotRun, NotRunProof, RefusalReason
 from quinceferry_core.prefixes import prefix_hashes
-from quinceferry_core.queues import Waiting
+from quinceferry_core.queues import QueueEntry
 from quinceferryd.choices import Availability, UpstreamChooser
 from quinceferryd.settings import RoutingSettings
 from quinceferryd.target_queues import TargetQueue
@@ -66,7 +66,9 @@
         """Find a place for a request, now or after waiting; refuse at once what cannot get one."""
         target_queue = self._queue_for(request)
         hashes = prefix_hashes(request.target, request.prompt)
-        may_skip_queue = bool(hashes) or not target_queue.fair_queue.waiting_up_to(request.priority)
+        may_skip_queue = bool(hashes) or not target_queue.fair_queue.count_up_to_class(
+            request.priority
+        )
         if may_skip_queue:
             availability = self._chooser.availability(request)
             prefix_wait_seconds = PREFIX_WAIT_SECONDS_BY_PRIORITY[request.priority]
@@ -88,19 +90,19 @@
         """Refuse waiting requests that are overdue, and admit those that have room."""
         now = self._clock.monotonic()
         for target_queue in list(self._queues_by_target.values()):
-            for waiting in target_queue.fair_queue.overdue(
+            for waiting in target_queue.fair_queue.remove_overdue(
                 now, self._max_wait_seconds(target_queue)
             ):
                 self._refuse_waiting(waiting, target_queue)
             groups_by_priority = groupby(
-                target_queue.fair_queue.scan(MAX_SCANNED_REQUESTS),
+                target_queue.fair_queue.peek(MAX_SCANNED_REQUESTS),
                 key=lambda waiting: waiting.priority,
             )
             for _, group in groups_by_priority:
                 self._admit_group(list(group), target_queue, now)
 
     def _admit_group(
-        self, group: list[Waiting[_QueuedRequest]], target_queue: TargetQueue, now: float
+        self, group: list[QueueEntry[_QueuedRequest]], target_queue: TargetQueue, now: float
     ) -> None:
         """Place waiting requests of one class, first those whose prefix an upstream holds.
 
@@ -123,7 +125,7 @@
 
     def _try_admit(
         self,
-        waiting: Waiting[_QueuedRequest],
+        waiting: QueueEntry[_QueuedRequest],
         target_queue: TargetQueue,
         availability: Availability,
         *,
@@ -138,7 +140,7 @@
         )
         if upstream is None:
             return False
-        target_queue.fair_queue.take(waiting)
+        target_queue.fair_queue.dispatch(waiting)
         queued.decision.set_result(self._reserve_upstream(request, target_queue, upstream))
         return True
 
@@ -158,7 +160,7 @@
     ) -> Admitted | Failed:
         now = self._clock.monotonic()
         queued = _QueuedRequest(request, hashes, asyncio.get_running_loop().create_future())
-        waiting = Waiting(
+        waiting = QueueEntry(
             queued,
             request.workspace,
             request.priority,
@@ -195,7 +197,7 @@
             return unsent_refusal(
                 RefusalReason.QUEUE_FULL, wait_seconds, "the workspace fills its queue"
             )
-        if target_queue.fair_queue.has_room(request.workspace):
+        if target_queue.fair_queue.has_capacity(request.workspace):
             return None
         evicted = target_queue.fair_queue.evict_below(request.priority)
         if evicted is None:
@@ -203,7 +205,9 @@
         self._refuse_waiting(evicted, target_queue)
         return None
 
-    def _refuse_waiting(self, waiting: Waiting[_QueuedRequest], target_queue: TargetQueue) -> None:
+    def _refuse_waiting(
+        self, waiting: QueueEntry[_QueuedRequest], target_queue: TargetQueue
+    ) -> None:
         now = self._clock.monotonic()
         overdue = now >= waiting.deadline
         reason = RefusalReason.DEADLINE_EXCEEDED if overdue else RefusalReason.QUEUE_FULL
@@ -228,7 +232,7 @@
 
 
 def _prefix_wait_seconds(
-    waiting: Waiting[_QueuedRequest], availability: Availability, target_queue: TargetQueue
+    waiting: QueueEntry[_QueuedRequest], availability: Availability, target_queue: TargetQueue
 ) -> float:
     """Return how long a request waits for its prefix.
 
--- a/packages/quinceferry-daemon/src/quinceferryd/allotments.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/allotments.py
@@ -15,8 +15,8 @@
     BudgetShortfall,
     DrawPolicy,
     budget_key,
-    resize,
-    target_size,
+    resize_allotment,
+    target_unspent_tokens,
 )
 from quinceferry_core.clocks import Clock
 from quinceferry_core.exceptions import FencedError, KvConflictError, KvUnavailableError
@@ -86,7 +86,7 @@
         """
         holding = self._get_or_create_holding(workspace)
         holding.last_used_at = self._clock.monotonic()
-        holding.ledger.note_demand(tokens, self._clock.monotonic())
+        holding.ledger.update_demand(tokens, self._clock.monotonic())
         if isinstance(holding.ledger.reserve(request, tokens), Success):
             self._refill_if_low(workspace, holding)
             return Success(tokens)
@@ -160,7 +160,7 @@
                 await self._write_allotment(workspace, holding, entry, record, tokens)
                 return Success(None)
             except KvConflictError:
-                await self._clock.sleep(backoff.next_seconds())
+                await self._clock.sleep(backoff.next_delay_seconds())
             except KvUnavailableError:
                 return Failure(BudgetUnreachable(wanted))
         return Failure(BudgetUnreachable(wanted))
@@ -224,7 +224,7 @@
         # twice, which is on the safe side.
         outage_tokens = max(ledger.unrecorded, drawn - ledger.spent)
         wanted = Allotment(drawn, ledger.spent, outage_tokens, holding.sequence)
-        changed = resize(record, self.incarnation, wanted).unwrap()
+        changed = resize_allotment(record, self.incarnation, wanted).unwrap()
         # The part for outages shrinks here before it shrinks in the record, and grows after it.
         ledger.outage_tokens = min(ledger.outage_tokens, outage_tokens)
         version = entry.version if entry else ABSENT_VERSION
@@ -253,7 +253,7 @@
     def _target_tokens(self, holding: Holding, record: BudgetRecord) -> int:
         """Return how many unused tokens this router should hold."""
         rate = holding.ledger.demand_tokens_per_second
-        return target_size(record, self.incarnation, rate, self._policy)
+        return target_unspent_tokens(record, self.incarnation, rate, self._policy)
 
     async def _refill(self, workspace: WorkspaceId, holding: Holding) -> None:
         """Draw up to the target ahead of demand; the next request tries again if this fails."""
--- a/packages/quinceferry-daemon/src/quinceferryd/application.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/application.py
@@ -287,4 +287,4 @@
             expires_at,
             journaled=self.blackboard.kv.available,
         )
-        return self.tickets.write(ticket)
+        return self.tickets.issue(ticket)
--- a/packages/quinceferry-daemon/src/quinceferryd/attempts.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/attempts.py
@@ -237,7 +237,7 @@
             return "another run gave other text than the caller has"
         if attempt.may_have_run and not self._request.idempotent:
             return "a non-idempotent request is not sent again"
-        if self._delivered.has_unmatched:
+        if self._delivered.is_incomparable:
             return "too much was delivered to continue from another run"
         if not self._context.crashes.may_retry(self._request):
             return "the same content has crashed engines"
@@ -245,7 +245,7 @@
             return "too many attempts"
         if self._context.clock.monotonic() >= self._deadline:
             return "the deadline has passed"
-        if not self._context.retry_budget.spend():
+        if not self._context.retry_budget.try_withdraw():
             self._context.counters.retries_denied += 1
             return "too many requests are being retried"
         return ""
@@ -308,4 +308,4 @@
             settings.max_backoff_seconds,
             max(0, failures - 1),
         )
-        await self._context.clock.sleep(backoff.next_seconds())
+        await self._context.clock.sleep(backoff.next_delay_seconds())
--- a/packages/quinceferry-daemon/src/quinceferryd/budgets.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/budgets.py
@@ -6,13 +6,13 @@
 from returns.result import Failure, Result, Success
 
 from quinceferry_core.adapters import ABSENT_VERSION, KvEntry, KvStore
-from quinceferry_core.bills import Balance, BillPage, page_of
+from quinceferry_core.bills import Balance, BillPage, bill_page
 from quinceferry_core.budgets import (
     MAX_PENDING_TOP_UPS,
     BudgetRecord,
     TopUpRecord,
     budget_key,
-    forget_top_up,
+    remove_pending_top_up,
     top_up,
     top_up_key,
 )
@@ -67,7 +67,7 @@
                 return Success(await self.balance(workspace))
             record = await self._apply_top_up(workspace, top_up_record)
             await self._mark_applied(workspace, stored, top_up_record)
-            return Success(Balance.of(record))
+            return Success(Balance.from_record(record))
         except KvUnavailableError as error:
             return Failure(TopUpRejected(str(error), is_outcome_unknown=True))
         except KvConflictError as error:
@@ -80,7 +80,7 @@
 
         :raises KvUnavailableError: the key-value service did not answer.
         """
-        return Balance.of(await self.record(workspace))
+        return Balance.from_record(await self.record(workspace))
 
     async def record(self, workspace: WorkspaceId) -> BudgetRecord:
         """Read a workspace's budget record; an absent one is empty.
@@ -106,7 +106,7 @@
         for stored_entry in await self._kv.list(SEGMENT_PREFIX):
             entries.extend(msgspec.json.decode(stored_entry.value, type=Segment).bills)
         workspace_bills = (entry for entry in entries if entry.workspace == workspace)
-        return page_of(unique_bills(workspace_bills), workspace, cursor, size)
+        return bill_page(unique_bills(workspace_bills), workspace, cursor, size)
 
     async def _create_top_up_record(self, workspace: WorkspaceId, wanted: TopUpRecord) -> KvEntry:
         """Create the top-up's own record, or return the one that is there."""
@@ -156,7 +156,7 @@
         """Drop the operation ids of top-ups that are marked as applied."""
         for operation in record.pending_top_ups:
             if await self._is_applied(workspace, operation):
-                record = forget_top_up(record, operation)
+                record = remove_pending_top_up(record, operation)
         return record
 
     async def _mark_applied(
--- a/packages/quinceferry-daemon/src/quinceferryd/choices.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/choices.py
@@ -162,7 +162,9 @@
             candidates, preferred, self._settings.sampled_candidates, self._rng
         )
         urgent = request.priority is Priority.HIGH
-        cheapest = min(sampled, key=lambda each: self._costs.cost(each, tokens, urgent=urgent))
+        cheapest = min(
+            sampled, key=lambda each: self._costs.cost_seconds(each, tokens, urgent=urgent)
+        )
         return next(spec for spec in specs if spec.id == cheapest.upstream)
 
     def _candidate(
--- a/packages/quinceferry-daemon/src/quinceferryd/configuration.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/configuration.py
@@ -147,7 +147,7 @@
         attempts = 0
         while True:
             await self.synchronize()
-            earlier = self._state.earlier_answer(operation_id, fingerprint)
+            earlier = self._state.previous_result(operation_id, fingerprint)
             if earlier is not None:
                 return await self._repeat_answer(earlier)
             checked = self._check(change, expected_revision)
@@ -182,9 +182,9 @@
         if callable(change):
             built = change(self._state.configuration)
             if isinstance(built, Failure):
-                return Failure(self._state.refuse(built.failure()))
+                return Failure(self._state.rejection(built.failure()))
             change = built.unwrap()
-        conflict = self._state.check(change, expected_revision)
+        conflict = self._state.find_conflict(change, expected_revision)
         return Failure(conflict) if conflict else Success(change)
 
     def _next_entry(
--- a/packages/quinceferry-daemon/src/quinceferryd/connections.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/connections.py
@@ -160,7 +160,7 @@
         :return: the end of a whole answer, or how the connection ended.
         """
         run = self._run
-        run.reassembler.drop_pending()
+        run.reassembler.clear_pending()
         run.connections_without_progress += 1
         dispatch = Dispatch(
             run.request,
@@ -215,7 +215,7 @@
                 await self._buffer.put(piece, self._settings.reader_timeout_seconds)
             except TimeoutError:
                 return ConnectionEnding.READER_STALLED
-        return ConnectionEnding.INCOMPLETE if run.reassembler.is_overfull() else None
+        return ConnectionEnding.INCOMPLETE if run.reassembler.is_full() else None
 
 
 def _ending_for(error: UpstreamError, is_resume: bool) -> ConnectionEnding:
--- a/packages/quinceferry-daemon/src/quinceferryd/crashes.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/crashes.py
@@ -12,7 +12,7 @@
 from quinceferry_core.membership import QuarantinedContent
 from quinceferry_core.models import CallerRequest, UpstreamId
 from quinceferry_core.outcomes import Failed
-from quinceferry_core.quarantine import SETTLE_SECONDS, Quarantine, RunStage
+from quinceferry_core.quarantine import EVIDENCE_DELAY_SECONDS, Quarantine, RunStage
 from quinceferryd.blackboard import Blackboard
 from quinceferryd.controllers import TaskGroupController
 from quinceferryd.fingerprints import fingerprint
@@ -46,9 +46,9 @@
 
     def refusal(self, request: CallerRequest) -> Failed | None:
         """Return why a request must not run, None if it may."""
-        if self._quarantine.empty:
+        if self._quarantine.is_empty:
             return None
-        remaining_seconds = self._quarantine.held_seconds(
+        remaining_seconds = self._quarantine.remaining_seconds(
             _content_key(request), self._clock.monotonic()
         )
         return quarantine_refusal(remaining_seconds) if remaining_seconds else None
@@ -56,25 +56,28 @@
     async def refusal_after_settling(self, request: CallerRequest) -> Failed | None:
         """Return the same, once all evidence of crashes that may decide it has come."""
         refusal = self.refusal(request)
-        if refusal is not None or self._quarantine.empty:
+        if refusal is not None or self._quarantine.is_empty:
             return refusal
-        settled_at = self._clock.monotonic() + SETTLE_SECONDS
-        if len(self._quarantine.blamed(_content_key(request), settled_at)) >= CRASHES_TO_QUARANTINE:
-            await self._clock.sleep(SETTLE_SECONDS)
+        settled_at = self._clock.monotonic() + EVIDENCE_DELAY_SECONDS
+        if (
+            len(self._quarantine.attributed_crashes(_content_key(request), settled_at))
+            >= CRASHES_TO_QUARANTINE
+        ):
+            await self._clock.sleep(EVIDENCE_DELAY_SECONDS)
         return self.refusal(request)
 
     def may_retry(self, request: CallerRequest) -> bool:
         """Tell whether a request that broke off may run at another engine."""
         now = self._clock.monotonic()
-        return self._quarantine.empty or not self._quarantine.next_concludes(
+        return self._quarantine.is_empty or not self._quarantine.next_crash_quarantines(
             _content_key(request), now
         )
 
     def record_completion(self, request: CallerRequest) -> None:
         """Note that a request was answered whole."""
-        if not self._quarantine.empty:
+        if not self._quarantine.is_empty:
             self._announce(
-                self._quarantine.completed(_content_key(request), self._clock.monotonic())
+                self._quarantine.record_completion(_content_key(request), self._clock.monotonic())
             )
 
     def record_crash(self, request: CallerRequest, upstream: UpstreamId, has_output: bool) -> None:
@@ -88,21 +91,21 @@
         lifetime = f"{upstream}@{status.reported_at if status else 0.0}"
         content = _content_key(request)
         _log.warning("engine crashed", upstream=upstream, content=content, stage=stage.name.lower())
-        if self._quarantine.crashed(lifetime, content, stage, self._clock.monotonic()):
+        if self._quarantine.record_crash(lifetime, content, stage, self._clock.monotonic()):
             self._announce([content])
         self.spawn(self._evaluate_evidence(lifetime), "crash evidence")
 
     async def _evaluate_evidence(self, lifetime: str) -> None:
         """Draw conclusions once the other requests of a crashed engine have broken off, too."""
-        await self._clock.sleep(SETTLE_SECONDS)
-        self._announce(self._quarantine.settle(lifetime, self._clock.monotonic()))
+        await self._clock.sleep(EVIDENCE_DELAY_SECONDS)
+        self._announce(self._quarantine.evaluate_crash(lifetime, self._clock.monotonic()))
 
     def _announce(self, quarantined: list[str]) -> None:
         """Let the heartbeat record say what was concluded here."""
         now = self._clock.monotonic()
         for content in quarantined:
-            seconds = self._quarantine.held_seconds(content, now)
-            crashed = self._quarantine.blamed(content, now)
+            seconds = self._quarantine.remaining_seconds(content, now)
+            crashed = self._quarantine.attributed_crashes(content, now)
             _log.warning("content quarantined", content=content, seconds=seconds, crashed=crashed)
             ends_at = self._clock.now() + timedelta(seconds=seconds)
             self._blackboard.quarantined += (QuarantinedContent(content, ends_at),)
@@ -125,7 +128,7 @@
         for member in self._blackboard.members_by_incarnation.values():
             for item in member.quarantined:
                 remaining_seconds = (item.ends_at - now).total_seconds()
-                if self._quarantine.hold(item.content, remaining_seconds, monotonic_now):
+                if self._quarantine.adopt(item.content, remaining_seconds, monotonic_now):
                     _log.warning(
                         "content quarantined", content=item.content, origin=member.incarnation
                     )
--- a/packages/quinceferry-daemon/src/quinceferryd/interfaces.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/interfaces.py
@@ -61,7 +61,7 @@
 class Tickets(Protocol):
     """Reads tickets that routers of this fleet issued."""
 
-    def read(self, text: str) -> Result[Ticket, str]:
+    def verify(self, text: str) -> Result[Ticket, str]:
         """Return the ticket, or why it is not valid."""
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/journal.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/journal.py
@@ -157,7 +157,7 @@
                     self._complete_batch(batch)
                     return
             except KvUnavailableError:
-                await self._clock.sleep(backoff.next_seconds())
+                await self._clock.sleep(backoff.next_delay_seconds())
 
     async def _write(self, value: bytes, name: str) -> bool:
         """Try to create the next slot.
--- a/packages/quinceferry-daemon/src/quinceferryd/members.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/members.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from quinceferry_core.absences import Absences
+from quinceferry_core.absences import AbsenceTracker
 from quinceferry_core.adapters import KvEntry, KvStore
 from quinceferry_core.clocks import Clock
 from quinceferry_core.exceptions import KvError
@@ -45,11 +45,11 @@
         self._blackboard = blackboard
         self._kv = kv
         self._clock = clock
-        self._absences: Absences[KvEntry] = Absences(
+        self._absences: AbsenceTracker[KvEntry] = AbsenceTracker(
             lease_seconds=ttl_seconds,
             renewal_seconds=heartbeat_seconds,
             grace_seconds=ttl_seconds,
-            registration=lambda entry: entry.version,
+            registration_of=lambda entry: entry.version,
         )
         self._own: Member | None = None
         self._cursor = -1
@@ -78,7 +78,7 @@
                 await self._follow_once()
             except KvError:
                 # A watch may have waited for long before it failed; no earlier time is sure.
-                self._absences.failed(self._clock.monotonic())
+                self._absences.record_failure(self._clock.monotonic())
                 self._is_partitioned = True
                 self._cursor = -1
                 await self._clock.sleep(WATCH_RETRY_SECONDS)
@@ -111,7 +111,7 @@
         self._batch_count += 1
         now = self._clock.monotonic()
         for event in batch.events:
-            self._absences.changed(event.key, event.entry, now, self._grace_end(now))
+            self._absences.apply_change(event.key, event.entry, now, self._grace_end(now))
             if event.entry is not None:
                 self._add_member(event.entry)
         self._remove_absent_members()
@@ -133,7 +133,7 @@
         :param requested_at: when the reading began.
         """
         entries_by_key = {entry.key: entry for entry in entries}
-        self._absences.read(entries_by_key, requested_at, self._clock.monotonic())
+        self._absences.apply_list(entries_by_key, requested_at, self._clock.monotonic())
         for entry in entries:
             self._add_member(entry)
         self._remove_absent_members()
@@ -148,7 +148,7 @@
 
     def _remove_absent_members(self) -> None:
         """Remove the members that are neither listed nor may be kept."""
-        kept_keys = self._absences.kept(self._clock.monotonic())
+        kept_keys = self._absences.retained(self._clock.monotonic())
         for incarnation in list(self._blackboard.members_by_incarnation):
             key = f"{MEMBER_PREFIX}{incarnation}"
             is_own = self._own is not None and incarnation == self._own.incarnation
@@ -165,8 +165,8 @@
 
     def _watch_seconds(self) -> float:
         """Return how long the next watch may wait: not beyond the time of a missing member."""
-        next_end = self._absences.next_end
-        if next_end is None:
+        next_expiry = self._absences.next_expiry
+        if next_expiry is None:
             return WATCH_TIMEOUT_SECONDS
-        remaining_seconds = max(MIN_WATCH_INTERVAL_SECONDS, next_end - self._clock.monotonic())
+        remaining_seconds = max(MIN_WATCH_INTERVAL_SECONDS, next_expiry - self._clock.monotonic())
         return min(WATCH_TIMEOUT_SECONDS, remaining_seconds)
--- a/packages/quinceferry-daemon/src/quinceferryd/model_demand.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/model_demand.py
@@ -41,7 +41,7 @@
         :raises KvError: the service did not answer; call again.
         """
         lease = self._membership.lease
-        rates = {str(model): rate for model, rate in self._meter.read().items()}
+        rates = {str(model): rate for model, rate in self._meter.rounded_rates().items()}
         is_unchanged = rates == self._published_rates and self._published_lease in (lease, "")
         if not lease or is_unchanged:
             return
--- a/packages/quinceferry-daemon/src/quinceferryd/orders.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/orders.py
@@ -9,11 +9,11 @@
 from quinceferry_core.models import ModelRef, UpstreamId, UpstreamSpec
 from quinceferry_core.orders import (
     EngineRecord,
-    Wish,
+    PlannedLoad,
+    attached_models,
+    choose_eviction,
     detached_models,
-    eviction,
     plan_loads,
-    wanted_models,
 )
 from quinceferryd.blackboard import Blackboard, RouterState
 from quinceferryd.controllers import TaskGroupController
@@ -147,7 +147,7 @@
                 await self.engines.raise_fencing(shard, spec)
 
     def _start_loads(self) -> None:
-        wanted = wanted_models(self._blackboard.configuration)
+        wanted = attached_models(self._blackboard.configuration)
         for wish in plan_loads(wanted, self._fleet_demand, list(self._fleet_engines.values())):
             shard = self._shard_of(wish.upstream)
             state = self.engines.state(wish.upstream) if shard else None
@@ -163,7 +163,7 @@
                 return shard
         return None
 
-    async def _load(self, shard: HeldShard, wish: Wish) -> None:
+    async def _load(self, shard: HeldShard, wish: PlannedLoad) -> None:
         """Have an engine load a model when its turn at the weight store has come."""
         try:
             async with self._queue.turn():
@@ -173,7 +173,7 @@
         finally:
             self.engines.state(wish.upstream).loading = None
 
-    async def _order_load_until_done(self, shard: HeldShard, wish: Wish) -> None:
+    async def _order_load_until_done(self, shard: HeldShard, wish: PlannedLoad) -> None:
         """Order a load until a report shows it, the shard is lost or the bound has passed."""
         ends_at = self._clock.monotonic() + MAX_LOAD_SECONDS
         repeat_at = float("-inf")
@@ -204,7 +204,7 @@
 
     def _next_model_to_unload(self, engine: EngineRecord) -> ModelRef | None:
         """Return a model that an engine should unload now, or None."""
-        wanted = wanted_models(self._blackboard.configuration)
+        wanted = attached_models(self._blackboard.configuration)
         since_by_model = self.engines.state(engine.upstream).detached_since
         detached = detached_models(engine, wanted)
         now = self._clock.monotonic()
@@ -214,4 +214,4 @@
             if now >= since_by_model.setdefault(model, now) + DETACHED_MODEL_RETENTION_SECONDS:
                 return model
         fleet = list(self._fleet_engines.values())
-        return eviction(engine, wanted, self._fleet_demand, fleet)
+        return choose_eviction(engine, wanted, self._fleet_demand, fleet)
--- a/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
@@ -161,7 +161,7 @@
             yield router_not_ready_refusal("submit")
             return
         if self._demand is not None and request.kind is not RequestKind.SERVICE:
-            self._demand.note(request.target)
+            self._demand.record_request(request.target)
         expires_at = request.ticket.expires_at if request.ticket else None
         run = self.runs.begin(key, fingerprint(request), request.idempotent, expires_at)
         run.task = self.spawn(self._execute(run, request), f"request {key.request}")
--- a/packages/quinceferry-daemon/src/quinceferryd/recording.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recording.py
@@ -111,7 +111,7 @@
         account.allotments.settle(request.workspace, request.request_id, spent)
         ledger = account.allotments.ledger(request.workspace)
         for use in execution.unrecorded:
-            ledger.change_unrecorded(use, spent)
+            ledger.lower_unrecorded(use, spent)
             spent -= use.tokens
         entry = Settle(
             request.workspace,
@@ -166,11 +166,11 @@
         if requires_durable_entry:
             return BILLING_UNREACHABLE
         ledger = execution.account.allotments.ledger(begin.workspace)
-        use = ledger.enter_unrecorded(begin.reserved)
+        use = ledger.add_unrecorded(begin.reserved)
         if use is None:
             return BILLING_UNREACHABLE
         execution.unrecorded.append(use)
-        committed.add_done_callback(lambda _: ledger.change_unrecorded(use, 0))
+        committed.add_done_callback(lambda _: ledger.lower_unrecorded(use, 0))
         is_held = await self._copies.place(appended.copy)
         return None if is_held else BILLING_UNREACHABLE
 
--- a/packages/quinceferry-daemon/src/quinceferryd/recovered_budgets.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovered_budgets.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from quinceferry_core.adapters import KvEntry, KvStore
-from quinceferry_core.budgets import BUDGET_PREFIX, BudgetRecord, close, retire
+from quinceferry_core.budgets import BUDGET_PREFIX, BudgetRecord, close_allotment, retire_allotment
 from quinceferry_core.exceptions import KvConflictError
 from quinceferry_core.journals import JournalState
 from quinceferry_core.membership import IncarnationRecord
@@ -38,7 +38,7 @@
         allotment = record.allotments_by_incarnation[owner.incarnation]
         possibly_spent = case.possibly_spent(journal, owner, workspace, allotment)
         kept_tokens = case.known_spent(journal, workspace) + possibly_spent
-        changed = close(record, owner.incarnation, kept_tokens)
+        changed = close_allotment(record, owner.incarnation, kept_tokens)
         if changed == record:
             return
         try:
@@ -63,7 +63,7 @@
         allotment = record.allotments_by_incarnation[owner.incarnation]
         possibly_spent = case.possibly_spent(journal, owner, workspace, allotment)
         spent = case.known_spent(journal, workspace)
-        changed = retire(record, owner.incarnation, spent, possibly_spent)
+        changed = retire_allotment(record, owner.incarnation, spent, possibly_spent)
         await self._kv.put_if(entry.key, msgspec.json.encode(changed), entry.version)
         self._counters.tokens_freed += changed.free - record.free
         self._counters.tokens_withheld += changed.withheld - record.withheld
--- a/packages/quinceferry-daemon/src/quinceferryd/request_options.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/request_options.py
@@ -110,7 +110,7 @@
         text = headers.get(TICKET_HEADER, "")
         if not text:
             return Success(None)
-        match self._tickets.read(text):
+        match self._tickets.verify(text):
             case Success(Ticket(workspace=owner) as ticket) if owner == workspace.id:
                 return Success(ticket)
             case Failure(detail):
--- a/packages/quinceferry-daemon/src/quinceferryd/retention.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/retention.py
@@ -15,7 +15,7 @@
     Segment,
     Settle,
     Slot,
-    owner_of,
+    owner_from_key,
     segment_key,
     slot_number,
 )
@@ -69,7 +69,7 @@
         # Records are read last: an owner without one then had none when its keys were written.
         recorded_incarnations = await self._read_incarnations()
         await self._compact_terminated(
-            [entry for entry in slots if owner_of(entry.key) not in recorded_incarnations]
+            [entry for entry in slots if owner_from_key(entry.key) not in recorded_incarnations]
         )
         await self._delete_expired_segments(segments, recorded_incarnations)
 
@@ -100,14 +100,14 @@
     async def _compact_terminated(self, entries: list[KvEntry]) -> None:
         """Fold the journals of incarnations whose record has been gone for long enough."""
         now = self._clock.monotonic()
-        owners = {owner_of(entry.key) for entry in entries}
+        owners = {owner_from_key(entry.key) for entry in entries}
         for owner in self._record_missing_since_by_owner.keys() - owners:
             del self._record_missing_since_by_owner[owner]
         for owner in sorted(owners):
             missing_since = self._record_missing_since_by_owner.setdefault(owner, now)
             if now - missing_since >= PROOF_RETENTION_SECONDS:
                 await self._compact_journal(
-                    [entry for entry in entries if owner_of(entry.key) == owner]
+                    [entry for entry in entries if owner_from_key(entry.key) == owner]
                 )
 
     async def _compact_journal(self, entries: list[KvEntry]) -> None:
@@ -130,7 +130,7 @@
         last = slot_number(entries[-1].key)
         segment = Segment(first, last + 1, tuple(bills), {}, folded_at=self._clock.now())
         if bills:
-            key = segment_key(owner_of(entries[0].key), first)
+            key = segment_key(owner_from_key(entries[0].key), first)
             # An earlier try may have written it, and been interrupted while deleting the slots.
             with suppress(KvConflictError):
                 await self._kv.put_if(key, msgspec.json.encode(segment), ABSENT_VERSION)
@@ -142,9 +142,9 @@
     ) -> None:
         """Delete segments past their time, but for the last of a live journal with its totals."""
         oldest_kept_at = self._clock.now() - timedelta(days=self._settings.bill_retention_days)
-        last_key_by_owner = {owner_of(entry.key): entry.key for entry in segments}
+        last_key_by_owner = {owner_from_key(entry.key): entry.key for entry in segments}
         for entry in segments:
-            owner = owner_of(entry.key)
+            owner = owner_from_key(entry.key)
             if owner in recorded_incarnations and last_key_by_owner[owner] == entry.key:
                 continue
             segment = msgspec.json.decode(entry.value, type=Segment)
--- a/packages/quinceferry-daemon/src/quinceferryd/shares.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shares.py
@@ -6,7 +6,7 @@
 from quinceferry_core.addresses import home_members
 from quinceferry_core.clocks import Clock
 from quinceferry_core.limits import (
-    ClaimedPart,
+    ClaimedShare,
     LimitClaim,
     WorkspaceMeter,
     apportion,
@@ -33,8 +33,8 @@
 class _WorkspaceShare:
     """This router's parts of one workspace's rates and concurrent streams."""
 
-    rate: ClaimedPart = field(default_factory=ClaimedPart)
-    streams: ClaimedPart = field(default_factory=ClaimedPart)
+    rate: ClaimedShare = field(default_factory=ClaimedShare)
+    streams: ClaimedShare = field(default_factory=ClaimedShare)
     demand: float = 0.0
     meter: WorkspaceMeter = field(default_factory=WorkspaceMeter)
 
@@ -64,7 +64,7 @@
         if limits.concurrent_streams and share.meter.streams >= int(share.streams.in_use):
             return _limit_refusal(RefusalReason.STREAMS_LIMITED, CLAIM_WAIT_SECONDS)
         now = self._clock.monotonic()
-        wait = share.meter.rate_wait(limits, share.rate.in_use, tokens, now)
+        wait = share.meter.rate_wait_seconds(limits, share.rate.in_use, tokens, now)
         if wait > 0:
             return _limit_refusal(RefusalReason.RATE_LIMITED, min(wait, CLAIM_WAIT_SECONDS))
         return None
@@ -73,20 +73,20 @@
         """Count an admitted request."""
         limits = self._limits(request.workspace)
         if limits != Limits():
-            self._share(request.workspace).meter.take(limits, tokens)
+            self._share(request.workspace).meter.admit(limits, tokens)
 
     def revert_admission(self, request: CallerRequest, tokens: int) -> None:
         """Take back the count of a request that was refused after all."""
         limits = self._limits(request.workspace)
         share = self._shares_by_id.get(request.workspace)
         if limits != Limits() and share is not None:
-            share.meter.give_back(limits, tokens)
+            share.meter.refund(limits, tokens)
 
     def count_completion(self, request: CallerRequest) -> None:
         """Count the end of an admitted request."""
         share = self._shares_by_id.get(request.workspace)
         if share is not None and share.meter.streams:
-            share.meter.leave()
+            share.meter.end_stream()
 
     def update(self) -> None:
         """Recompute claims and the parts in use; called every ``UPDATE_INTERVAL_SECONDS``."""
@@ -113,7 +113,7 @@
         own = self._blackboard.identity.incarnation
         share = self._share(workspace)
         share.demand *= 0.5 ** (UPDATE_INTERVAL_SECONDS / DEMAND_HALF_LIFE_SECONDS)
-        share.meter.rate_wait(limits, share.rate.in_use, 0, self._clock.monotonic())
+        share.meter.rate_wait_seconds(limits, share.rate.in_use, 0, self._clock.monotonic())
         others = {router: claim for router, claim in claims.items() if router != own}
         weights = self._weights(workspace, _quantize_demand(share.demand), others)
         has_precedence = all(own < router for router in others)
@@ -138,7 +138,7 @@
         share.rate.confirm(
             published_claim.share if published_claim else None, claimed_by_others, 1.0
         )
-        share.rate.propose(target, claimed_by_others, 1.0, has_precedence)
+        share.rate.update_claim(target, claimed_by_others, 1.0, has_precedence)
 
     def _update_streams_share(
         self,
@@ -154,13 +154,13 @@
         share.streams.confirm(
             published_claim.streams if published_claim else None, claimed_by_others, fleet_limit
         )
-        share.streams.propose(target, claimed_by_others, fleet_limit, has_precedence)
+        share.streams.update_claim(target, claimed_by_others, fleet_limit, has_precedence)
 
     def _claim(self, workspace: WorkspaceId) -> LimitClaim:
         """Return what the next heartbeat claims of a workspace."""
         share = self._shares_by_id[workspace]
-        streams = int(share.streams.wanted)
-        return LimitClaim(workspace, share.rate.wanted, streams, _quantize_demand(share.demand))
+        streams = int(share.streams.next_claim)
+        return LimitClaim(workspace, share.rate.next_claim, streams, _quantize_demand(share.demand))
 
     def _weights(
         self, workspace: WorkspaceId, demand: float, others: dict[IncarnationId, LimitClaim]
@@ -183,8 +183,8 @@
             return
         self._incarnation = own
         for share in self._shares_by_id.values():
-            share.rate = ClaimedPart()
-            share.streams = ClaimedPart()
+            share.rate = ClaimedShare()
+            share.streams = ClaimedShare()
 
     def _update_known_members(self) -> None:
         """Keep the last claims of lapsed routers until their VMs are proven gone."""
--- a/packages/quinceferry-daemon/src/quinceferryd/streams.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/streams.py
@@ -85,7 +85,7 @@
             StreamResult() if result is None else result,
             buffer,
         )
-        self._context.retry_budget.earn()
+        self._context.retry_budget.deposit()
         task = asyncio.create_task(attempt_loop.run(), name=f"stream {request.request_id}")
         try:
             while (event := await buffer.get()) is not None:
--- a/packages/quinceferry-daemon/src/quinceferryd/target_queues.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/target_queues.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from quinceferry_core.models import Priority
-from quinceferry_core.queues import FairQueue, Waiting
+from quinceferry_core.queues import FairQueue, QueueEntry
 
 RATE_WINDOW_SECONDS = 5.0
 """Admissions of this long are counted to predict waits."""
@@ -30,7 +30,7 @@
         self._recent_admissions: deque[tuple[float, Priority]] = deque()
         self._nonempty_since: float | None = None
 
-    def push(self, waiting: Waiting, now: float) -> None:
+    def push(self, waiting: QueueEntry, now: float) -> None:
         """Add a request to the queue."""
         if not len(self.fair_queue):
             self._nonempty_since = now
@@ -49,7 +49,7 @@
         moved while it was watched is taken to move once in that time.
         """
         self._drop_expired_admissions(now)
-        ahead = self.fair_queue.waiting_up_to(priority)
+        ahead = self.fair_queue.count_up_to_class(priority)
         nonempty_seconds = now - self._nonempty_since if self._nonempty_since is not None else 0.0
         if not ahead or nonempty_seconds < MIN_NONEMPTY_SECONDS * self.wait_factor:
             return 0.0
@@ -62,7 +62,7 @@
         return max(
             _drain_seconds(ahead, len(recent_priorities), window_seconds),
             _drain_seconds(
-                self.fair_queue.waiting_in(priority),
+                self.fair_queue.count_in_class(priority),
                 recent_priorities.count(priority),
                 window_seconds,
             ),
--- a/packages/quinceferry-daemon/src/quinceferryd/tracking.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/tracking.py
@@ -14,9 +14,9 @@
 from quinceferry_core.prefixes import PrefixIndex, prefix_hashes
 from quinceferry_core.routing import (
     CorrectedLoad,
-    SentLedger,
+    InFlightTracker,
+    available_slots,
     correct_load,
-    free_room,
     smoothed_growth,
 )
 from quinceferryd.blackboard import Blackboard, UpstreamStatus
@@ -40,7 +40,7 @@
     """Own history with one upstream; times are in monotonic seconds."""
 
     backlog: PrefillBacklog
-    ledger: SentLedger = field(default_factory=SentLedger)
+    ledger: InFlightTracker = field(default_factory=InFlightTracker)
     prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     growth_per_second: float = 0.0
     others_load: int = 0
@@ -92,13 +92,13 @@
             age, self._settings.max_report_age_seconds
         )
         usable_slots = load.slots * (1.0 + headroom_share)
-        free_slots = free_room(
+        free_slots = available_slots(
             load, usable_slots, history.ledger.in_flight(), self.router_count(), expected_growth
         )
         if headroom_share > 0 or (not is_long and self._is_idle(upstream, load)):
             return free_slots
         uncached_tokens = max(
-            history.backlog.tokens(self._clock.monotonic()),
+            history.backlog.estimated_tokens(self._clock.monotonic()),
             self._reported_uncached_tokens(upstream),
         )
         return free_slots if uncached_tokens < self._max_backlog_tokens() else 0.0
@@ -157,8 +157,8 @@
         tokens = estimate_prompt_tokens(request)
         uncached = max(1, tokens - self.cached_tokens(upstream, hashes, tokens))
         history.corrected_load = None
-        history.ledger.placed(key, uncached)
-        history.backlog.placed(key, uncached, self._clock.monotonic())
+        history.ledger.record_placement(key, uncached)
+        history.backlog.record_placement(key, uncached, self._clock.monotonic())
         history.prefixes.record_sent(hashes)
         if uncached >= self._settings.long_prompt_tokens:
             history.long_prompt_keys.add(key)
@@ -167,22 +167,22 @@
         """Note that a request's dispatch is recorded and its first byte is leaving."""
         history = self._history(upstream)
         history.corrected_load = None
-        history.ledger.sent(request_key(request), self._clock.monotonic())
-        history.backlog.dispatched(request_key(request), self._clock.monotonic())
+        history.ledger.record_sent(request_key(request), self._clock.monotonic())
+        history.backlog.record_dispatch(request_key(request), self._clock.monotonic())
 
     def record_first_token(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note the first token of an answer."""
         history = self._history(upstream)
         history.corrected_load = None
-        history.ledger.first_token(request_key(request), self._clock.monotonic())
-        history.backlog.left(request_key(request))
+        history.ledger.record_first_token(request_key(request), self._clock.monotonic())
+        history.backlog.remove(request_key(request))
 
     def record_ended(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Note that a request has left an upstream."""
         history = self._history(upstream)
         history.corrected_load = None
-        history.ledger.ended(request_key(request), self._clock.monotonic())
-        history.backlog.left(request_key(request))
+        history.ledger.record_end(request_key(request), self._clock.monotonic())
+        history.backlog.remove(request_key(request))
         history.long_prompt_keys.discard(request_key(request))
 
     def record_failure(self, upstream: UpstreamId) -> None:
--- a/packages/quinceferry-daemon/src/quinceferryd/upstream_client.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/upstream_client.py
@@ -288,7 +288,7 @@
         REQUEST_ID_HEADER: dispatch.request.request_id,
         INCARNATION_HEADER: dispatch.incarnation,
         FENCING_HEADER: str(dispatch.fencing),
-        ATTEMPT_HEADER: str(dispatch.begun_by),
+        ATTEMPT_HEADER: str(dispatch.original_attempt),
         TOKEN_CAP_HEADER: str(dispatch.token_cap),
         PRIORITY_HEADER: str(int(dispatch.request.priority)),
         OFFSET_HEADER: str(dispatch.offset),
--- a/packages/quinceferry-daemon/src/quinceferryd/vms.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/vms.py
@@ -5,7 +5,7 @@
 from quinceferry_core.adapters import VmList
 from quinceferry_core.clocks import Clock
 from quinceferry_core.exceptions import PlatformUnavailableError
-from quinceferry_core.membership import IncarnationRecord, VmAbsence, vm_is_gone
+from quinceferry_core.membership import IncarnationRecord, VmAbsence, vm_has_terminated
 from quinceferry_core.models import IncarnationId, UpstreamId, VmId, VmState
 from quinceferryd.blackboard import Blackboard, UpstreamStatus
 from quinceferryd.controllers import TaskGroupController
@@ -79,7 +79,7 @@
         observed_since = self._observed_since_by_incarnation.setdefault(record.incarnation, now)
         self._tracked_vms.add(record.vm)
         absence = self._absences_by_vm.get(record.vm)
-        return vm_is_gone(record, observed_since, absence, self._max_lag_seconds)
+        return vm_has_terminated(record, observed_since, absence, self._max_lag_seconds)
 
     def remove_observations(self, record: IncarnationRecord) -> None:
         """Drop the observations of an incarnation whose record has been deleted."""
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/crashes.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/crashes.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from quinceferry_core.clocks import Clock
-from quinceferry_core.quarantine import SETTLE_SECONDS, Quarantine, RunStage
+from quinceferry_core.quarantine import EVIDENCE_DELAY_SECONDS, Quarantine, RunStage
 from quinceferry_gateway.answers import Reason, Refusal
 from quinceferry_gateway.blackboard import Blackboard
 from quinceferry_gateway.catalog import Upstream
@@ -95,9 +95,9 @@
 
     def held_seconds(self, progress: Progress) -> float:
         """Return how long a request's content stays in quarantine, zero if it may run."""
-        if self._quarantine.empty:
+        if self._quarantine.is_empty:
             return 0.0
-        return self._quarantine.held_seconds(progress.fingerprint, self._clock.monotonic())
+        return self._quarantine.remaining_seconds(progress.fingerprint, self._clock.monotonic())
 
     def may_repeat(self, progress: Progress) -> bool:
         """Tell whether a request may go to another upstream after one broke off.
@@ -106,13 +106,13 @@
         cause, the crash breaks all that runs there, and if it is not, its caller can ask again.
         """
         now = self._clock.monotonic()
-        return self._quarantine.empty or not self._quarantine.next_concludes(
+        return self._quarantine.is_empty or not self._quarantine.next_crash_quarantines(
             progress.fingerprint, now
         )
 
     def completed(self, progress: Progress) -> None:
         """Note that a request was answered by an upstream that works on."""
-        if self._quarantine.empty or not self._quarantine.suspected(progress.fingerprint):
+        if self._quarantine.is_empty or not self._quarantine.is_suspected(progress.fingerprint):
             return
         self._take_completion(CompletionReport(progress.fingerprint), "own")
         self._tell(CompletionReport(progress.fingerprint))
@@ -132,7 +132,7 @@
         news = [
             content
             for content, seconds in seconds_by_content.items()
-            if len(content) <= MAX_NAME_CHARACTERS and self._quarantine.hold(content, seconds, now)
+            if len(content) <= MAX_NAME_CHARACTERS and self._quarantine.adopt(content, seconds, now)
         ]
         for content in news:
             self._log_hold(content, origin)
@@ -144,7 +144,7 @@
 
         Rounded down, so that two gateways which hand it to each other come to its end.
         """
-        seconds_by_content = self._quarantine.held(self._clock.monotonic())
+        seconds_by_content = self._quarantine.remaining_seconds_by_content(self._clock.monotonic())
         return {content: int(left) for content, left in seconds_by_content.items() if left >= 1}
 
     async def _judge(self, progress: Progress, upstream: Upstream, stage: RunStage) -> None:
@@ -201,26 +201,26 @@
         if report.lifetime not in self._settling:
             self._settling.add(report.lifetime)
             self.spawn(self._settle(report.lifetime), "crash evidence")
-        if self._quarantine.crashed(report.lifetime, report.content, report.stage, now):
+        if self._quarantine.record_crash(report.lifetime, report.content, report.stage, now):
             self._conclude(report.content, origin, by_own_evidence)
 
     async def _settle(self, lifetime: str) -> None:
         """Draw conclusions from a crash once all peers must have told of it."""
-        await self._clock.sleep(SETTLE_SECONDS)
+        await self._clock.sleep(EVIDENCE_DELAY_SECONDS)
         self._settling.discard(lifetime)
-        for content in self._quarantine.settle(lifetime, self._clock.monotonic()):
+        for content in self._quarantine.evaluate_crash(lifetime, self._clock.monotonic()):
             self._conclude(content, "settled", by_own_evidence=False)
 
     def _conclude(self, content: str, origin: str, by_own_evidence: bool) -> None:
         """Let others know that content is in quarantine."""
         self._log_hold(content, origin)
-        seconds = self._quarantine.held_seconds(content, self._clock.monotonic())
+        seconds = self._quarantine.remaining_seconds(content, self._clock.monotonic())
         self.concluded(content, seconds, by_own_evidence)
         self.renewed()
 
     def _take_completion(self, report: CompletionReport, sender: object) -> None:
         """Take that content was answered."""
-        for content in self._quarantine.completed(report.content, self._clock.monotonic()):
+        for content in self._quarantine.record_completion(report.content, self._clock.monotonic()):
             self._conclude(content, str(sender), by_own_evidence=False)
 
     def _log_hold(self, content: str, origin: str) -> None:
@@ -230,8 +230,8 @@
             "quarantine.began",
             content=content,
             origin=origin,
-            seconds=round(self._quarantine.held_seconds(content, now), 1),
-            crashed=self._quarantine.blamed(content, now),
+            seconds=round(self._quarantine.remaining_seconds(content, now), 1),
+            crashed=self._quarantine.attributed_crashes(content, now),
         )
 
     def _tell(self, message: msgspec.Struct) -> None:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from quinceferry_core.absences import Absences
+from quinceferry_core.absences import AbsenceTracker
 from quinceferry_core.clocks import Clock
 from quinceferry_core.exceptions import KvError
 from quinceferry_gateway.blackboard import Blackboard
@@ -76,11 +76,11 @@
             INTERVAL_SHARE * bound_seconds, LIMIT_SHARE * bound_seconds, draws
         )
         self._content = 0
-        self._absences: Absences[Upstream] = Absences(
+        self._absences: AbsenceTracker[Upstream] = AbsenceTracker(
             lease_seconds=HEARTBEATS_OF_LEASE * heartbeat_seconds,
             renewal_seconds=heartbeat_seconds,
             grace_seconds=LAPSE_GRACE_SECONDS,
-            registration=lambda upstream: upstream.registration,
+            registration_of=lambda upstream: upstream.registration,
         )
 
     async def start(self) -> None:
@@ -98,7 +98,7 @@
         board.upstreams_revision = max(board.upstreams_revision, revision)
         if board.upstreams_read_at is None or asked_at > board.upstreams_read_at:
             board.upstreams_read_at = asked_at
-            self._absences.confirm(asked_at)
+            self._absences.confirm_list(asked_at)
 
     def encode(self, now: float) -> bytes | None:
         """Return the list for a peer, None without one."""
@@ -142,10 +142,10 @@
             if not pause:
                 await self._read(now)
                 continue
-            next_end = None if self._absences.failing else self._absences.next_end
-            if next_end is not None and next_end <= now:
+            next_expiry = None if self._absences.is_failing else self._absences.next_expiry
+            if next_expiry is not None and next_expiry <= now:
                 self._publish(board.upstreams_revision, board.upstreams_read_at, now)
-            left = pause if next_end is None else max(SOONEST_READ_SECONDS, next_end - now)
+            left = pause if next_expiry is None else max(SOONEST_READ_SECONDS, next_expiry - now)
             await self._clock.sleep(min(pause, left))
 
     async def _read(self, asked_at: float) -> None:
@@ -154,7 +154,7 @@
         try:
             listed = await self._source.upstreams()
         except KvError as error:
-            self._absences.failed(asked_at)
+            self._absences.record_failure(asked_at)
             board, now = self._blackboard, self._clock.monotonic()
             note_failure(board, error)
             self._schedule.failed(board.reader, board.upstreams_read_at, now)
@@ -167,13 +167,13 @@
         if listed.revision < self._blackboard.upstreams_revision:
             return
         now = self._clock.monotonic()
-        self._absences.read(listed.by_id, asked_at, now)
+        self._absences.apply_list(listed.by_id, asked_at, now)
         self._publish(listed.revision, asked_at, now)
 
     def _publish(self, revision: int, asked_at: float | None, now: float) -> None:
         """Write the upstreams that may be used to the blackboard."""
         board = self._blackboard
-        kept = self._absences.kept(now)
+        kept = self._absences.retained(now)
         listed = self._absences.listed_by_id
         self._content = _checksum(listed.values(), kept)
         self._note_kept(kept, now)
--- a/packages/quinceferry-lab/src/quinceferry_lab/defects.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/defects.py
@@ -141,7 +141,7 @@
         others = {**record.allotments_by_incarnation, incarnation: Allotment(closed=True)}
         return replace(record, allotments_by_incarnation=others)
 
-    with patch("quinceferryd.recovered_budgets.close", close):
+    with patch("quinceferryd.recovered_budgets.close_allotment", close):
         yield
 
 
--- a/packages/quinceferry-lab/src/quinceferry_lab/edges.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/edges.py
@@ -35,7 +35,7 @@
             yield refused
             return
         if ticket:
-            match self._application.tickets.read(ticket):
+            match self._application.tickets.verify(ticket):
                 case Success(read):
                     request = replace(request, ticket=read)
                 case Failure(detail):
