--- a/features/fixtures_fleet.py
+++ b/features/fixtures_fleet.py
@@ -14,11 +14,11 @@
 from quinceferry_gateway.blackboard import Blackboard, Member, Phase
 from quinceferry_gateway.catalog import Configuration, Upstream, UpstreamList
 from quinceferry_gateway.configuration_reader import ConfigurationReader
-from quinceferry_gateway.crashes import CrashWatch
-from quinceferry_gateway.decisions import Beliefs
+from quinceferry_gateway.crashes import CrashMonitor
+from quinceferry_gateway.decisions import UpstreamStates
 from quinceferry_gateway.exceptions import ConfigurationError
 from quinceferry_gateway.fleet.calls import DatagramCalls
-from quinceferry_gateway.fleet.copies import Copies
+from quinceferry_gateway.fleet.copies import CopyReplicator
 from quinceferry_gateway.fleet.gossip import Gossip
 from quinceferry_gateway.interfaces import Snapshot
 from quinceferry_gateway.membership import MemberReader
@@ -108,9 +108,9 @@
         self._address = address
         self._handlers_by_type = {}
 
-    def handle(self, kind, handler):
+    def add_handler(self, message_type, handler):
         """Hand messages of a type to a handler."""
-        self._handlers_by_type[kind] = handler
+        self._handlers_by_type[message_type] = handler
 
     def send(self, message, addresses):
         """Send a message to some addresses."""
@@ -120,9 +120,9 @@
         for address in addresses:
             if self._network.passes(self._address, address):
                 port = self._network.nodes_by_address[address].port
-                loop.call_later(LATENCY_SECONDS, port.take, message, self._address)
+                loop.call_later(LATENCY_SECONDS, port.receive, message, self._address)
 
-    def take(self, message, origin):
+    def receive(self, message, origin):
         """Hand a message on."""
         if self._network.nodes_by_address[self._address].alive:
             sender = host_and_port(origin)
@@ -287,14 +287,14 @@
         self.gossip = Gossip(board, members, self.port, clock, draws, lambda: 0.0)
         lists_by_kind = {"configuration": configuration, "upstreams": upstreams, "members": members}
         peers = Peers(world.network, address)
-        self.copies = Copies(lists_by_kind, peers, clock, self.gossip.renewed)
+        self.copies = CopyReplicator(lists_by_kind, peers, clock, self.gossip.copies_updated)
         quarantine = Quarantine(crashes=3, hold_seconds=600.0)
-        self.crashes = CrashWatch(board, quarantine, Deserted(), self.port, clock, Uncounted())
-        self.gossip.use(self.copies, self.crashes)
+        self.crashes = CrashMonitor(board, quarantine, Deserted(), self.port, clock, Uncounted())
+        self.gossip.attach(self.copies, self.crashes)
         calls = DatagramCalls(self.port, clock, number << CALL_NUMBER_BITS)
-        self.beliefs = Beliefs()
-        self.signals = UpstreamSignals(board, self.beliefs, self.port, clock, Uncounted())
-        self.permits = SendPermits(board, self.beliefs, calls, clock, Uncounted())
+        self.upstream_states = UpstreamStates()
+        self.signals = UpstreamSignals(board, self.upstream_states, self.port, clock, Uncounted())
+        self.permits = SendPermits(board, self.upstream_states, calls, clock, Uncounted())
         records = QuarantineRecords(board, store, clock, self.crashes)
         self._controllers = [configuration, upstreams, members, self.copies, self.gossip]
         self._controllers += [self.crashes, records, calls]
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -6,8 +6,8 @@
 from behave import given, then, when
 
 from features.fixtures_gateway import WORKSPACE, Scene, configuration, until
-from quinceferry_gateway.decisions.kept_parts import key_of
-from quinceferry_gateway.rendezvous import ranked
+from quinceferry_gateway.decisions.cached_prefixes import hash_prefix
+from quinceferry_gateway.rendezvous import rank_candidates
 from quinceferry_standins.managed_upstream import (
     Answered,
     Broken,
@@ -62,7 +62,7 @@
 
 @given('two upstreams of service {service}: the first choice "{first}", the other "{other}"')
 def given_first_choice(context, service, first, other):
-    order = ranked(key_of(["a"]), [f"{service}-1", f"{service}-2"])
+    order = rank_candidates(hash_prefix(["a"]), [f"{service}-1", f"{service}-2"])
     for name, behaviour in zip(order, (first, other), strict=True):
         context.gateway.add_upstream(name, service, BEHAVIOURS[behaviour])
 
--- a/features/steps/gateway_crashes.py
+++ b/features/steps/gateway_crashes.py
@@ -227,7 +227,7 @@
     """Let a gateway see one more upstream crash under the content."""
     context.seen = getattr(context, "seen", 0) + 1
     upstream = Upstream(f"gone-{context.seen}", "llm", "10.0.1.9:80", "z", 4, False)
-    return node.crashes.closed(FatalRequest, upstream, RunStage.BEGUN)
+    return node.crashes.connection_closed(FatalRequest, upstream, RunStage.BEGUN)
 
 
 async def see_crashes(context, world, count):
@@ -292,7 +292,9 @@
 def when_healed(context):
     async def heal(world):
         await world.clock.sleep(TOLD_SECONDS)
-        refusing = [node.vm for node in world.nodes if node.crashes.held_seconds(FatalRequest)]
+        refusing = [
+            node.vm for node in world.nodes if node.crashes.quarantine_seconds(FatalRequest)
+        ]
         assert len(refusing) == len(world.nodes) - 2, refusing
         world.network.cut.clear()
 
@@ -303,7 +305,7 @@
 def when_answers(context, number):
     async def answer(world):
         await world.clock.sleep(TOLD_SECONDS)
-        world.nodes[number - 1].crashes.completed(FatalRequest)
+        world.nodes[number - 1].crashes.request_completed(FatalRequest)
         await world.clock.sleep(TOLD_SECONDS)
 
     context.acts.append(answer)
@@ -313,7 +315,7 @@
 def then_all_refuse(context, seconds):
     context.acts.append(
         lambda world: world.seconds_until(
-            lambda node: node.crashes.held_seconds(FatalRequest), seconds
+            lambda node: node.crashes.quarantine_seconds(FatalRequest), seconds
         )
     )
     play(context)
@@ -323,9 +325,11 @@
 def then_none_refuses(context, seconds):
     async def look(world):
         await world.clock.sleep(seconds)
-        refusing = [node.vm for node in world.nodes if node.crashes.held_seconds(FatalRequest)]
+        refusing = [
+            node.vm for node in world.nodes if node.crashes.quarantine_seconds(FatalRequest)
+        ]
         assert not refusing, refusing
-        assert all(node.crashes.may_repeat(FatalRequest) is False for node in world.nodes)
+        assert all(node.crashes.may_retry(FatalRequest) is False for node in world.nodes)
 
     context.acts.append(look)
     play(context)
--- a/features/steps/gateway_decisions.py
+++ b/features/steps/gateway_decisions.py
@@ -12,12 +12,12 @@
 from quinceferry_core.clocks import SystemClock
 from quinceferry_gateway.blackboard import Blackboard, Member
 from quinceferry_gateway.catalog import Load, Upstream
-from quinceferry_gateway.decisions import Beliefs, Demand, Placer
-from quinceferry_gateway.decisions.kept_parts import key_of
-from quinceferry_gateway.decisions.reading import ReadingQueue, ReadingRates
+from quinceferry_gateway.decisions import Demand, Placer, UpstreamStates
+from quinceferry_gateway.decisions.cached_prefixes import hash_prefix
+from quinceferry_gateway.decisions.prefill import PrefillQueue, PrefillTimes
 from quinceferry_gateway.fleet.datagrams import DatagramPort
 from quinceferry_gateway.metrics import Metrics
-from quinceferry_gateway.sends import SendTeller
+from quinceferry_gateway.sends import SendNotifier
 from quinceferry_lab.placement_experiment import SLOW_SPELL, play
 from quinceferry_lab.placement_load import CUSTOMERS
 
@@ -70,7 +70,7 @@
 
 @given("beliefs of an upstream")
 def given_beliefs(context):
-    context.beliefs = Beliefs()
+    context.upstream_states = UpstreamStates()
     context.upstream = engine()
     context.now = 100.0
     context.avoided = []
@@ -80,29 +80,36 @@
 def when_fails(context, count):
     for _ in range(count):
         context.now += 0.1
-        attempt = context.beliefs.attempt(context.upstream, 0, "", context.now)
-        attempt.failed(context.now)
-        until_time = context.beliefs.of(context.upstream).suspect_until
+        attempt = context.upstream_states.start_attempt(context.upstream, 0, "", context.now)
+        attempt.record_failure(context.now)
+        until_time = context.upstream_states.get(context.upstream).suspect_until
         context.avoided.append(until_time - context.now)
         context.now = until_time
 
 
 @when("{count:d} requests to it fail together")
 def when_fail_together(context, count):
-    attempts = [context.beliefs.attempt(context.upstream, 0, "", context.now) for _ in range(count)]
+    attempts = [
+        context.upstream_states.start_attempt(context.upstream, 0, "", context.now)
+        for _ in range(count)
+    ]
     for attempt in attempts:
-        attempt.failed(context.now)
-    context.avoided.append(context.beliefs.of(context.upstream).suspect_until - context.now)
+        attempt.record_failure(context.now)
+    context.avoided.append(
+        context.upstream_states.get(context.upstream).suspect_until - context.now
+    )
 
 
 @when("it answers")
 def when_answers(context):
-    context.beliefs.attempt(context.upstream, 0, "", context.now).succeeded()
+    context.upstream_states.start_attempt(context.upstream, 0, "", context.now).record_success()
 
 
 @when('it is sent a prompt of {tokens:d} tokens with the parts "{key}"')
 def when_sent_prompt(context, tokens, key):
-    context.attempt = context.beliefs.attempt(context.upstream, tokens, key, context.now)
+    context.attempt = context.upstream_states.start_attempt(
+        context.upstream, tokens, key, context.now
+    )
 
 
 @when("it starts again under its identifier")
@@ -120,28 +127,28 @@
 
 @then("it is not avoided, has nothing to read, and keeps nothing")
 def then_nothing_known(context):
-    belief = context.beliefs.of(context.upstream)
-    assert belief.suspect_until <= context.now
-    assert belief.reading.backlog_seconds(context.now) == 0.0
-    assert not context.beliefs.kept.keepers(KEY, context.now)
+    state = context.upstream_states.get(context.upstream)
+    assert state.suspect_until <= context.now
+    assert state.prefill_queue.backlog_seconds(context.now) == 0.0
+    assert not context.upstream_states.cached_prefixes.caching_upstreams(KEY, context.now)
 
 
 @then("what ends of its earlier lifetime changes nothing")
 def then_ends(context):
-    context.attempt.began(context.now)
-    context.attempt.ended(context.now)
-    assert context.beliefs.of(context.upstream).in_flight == 0
+    context.attempt.record_first_event(context.now)
+    context.attempt.finish(context.now)
+    assert context.upstream_states.get(context.upstream).in_flight == 0
 
 
 @given("a reading queue of prompts of {first:g}, {second:g} and {third:g} seconds")
 def given_queue(context, first, second, third):
-    context.queue = ReadingQueue()
+    context.queue = PrefillQueue()
     context.numbers = [context.queue.add(0.0, seconds) for seconds in (first, second, third)]
 
 
 @when("the second prompt was read after {seconds:g} seconds")
 def when_read(context, seconds):
-    context.queue.finished(context.numbers[1], seconds)
+    context.queue.record_finished(context.numbers[1], seconds)
 
 
 @then("its backlog is {backlog:g} after {seconds:g} seconds")
@@ -160,18 +167,18 @@
 )
 def given_waits(context, share, seconds):
     source = random.Random(1)
-    context.rates = ReadingRates()
+    context.prefill_times = PrefillTimes()
     for number in range(600):
         tokens = source.choice((100, 400, 1500, 3000, 7000, 12_000, 25_000, 50_000))
         waited = seconds if number % share == 0 else 0.0
         read = tokens if number % KEPT_EACH else 0
         time = context.reading_base + read / context.reading_rate + waited
-        context.rates.observed(tokens, time)
+        context.prefill_times.record_sample(tokens, time)
 
 
 @then("a prompt of {tokens:d} tokens is believed to take {least:g} to {most:g} seconds")
 def then_takes(context, tokens, least, most):
-    found = context.rates.seconds(tokens)
+    found = context.prefill_times.estimate_seconds(tokens)
     assert least <= found <= most, found
 
 
@@ -215,14 +222,14 @@
 
 @given("beliefs of {count:d} engines that read {rate:d} tokens a second")
 def given_engines(context, count, rate):
-    context.beliefs = Beliefs()
+    context.upstream_states = UpstreamStates()
     context.engines = [engine(f"engine{number}") for number in range(count)]
-    context.placer = Placer("z", context.beliefs, random.Random(1))
+    context.placer = Placer("z", context.upstream_states, random.Random(1))
     context.now = 100.0
     context.placements = []
-    rates = context.beliefs.rates(SERVICE)
+    prefill_times = context.upstream_states.prefill_times(SERVICE)
     for tokens in (100, 1500, 3000, 6000, 12_000, 24_000, 50_000):
-        rates.observed(tokens, 0.05 + tokens / rate)
+        prefill_times.record_sample(tokens, 0.05 + tokens / rate)
 
 
 @when("a prompt of {tokens:d} tokens is placed")
@@ -230,7 +237,7 @@
 def when_prompt_placed(context, tokens, key="alone"):
     demand = Demand(key, 1000, tokens - 1000, 0.3)
     found = context.placer.place(demand, context.engines, (), context.now)
-    context.beliefs.attempt(found.upstream, found.unread_tokens, key, context.now)
+    context.upstream_states.start_attempt(found.upstream, found.uncached_tokens, key, context.now)
     context.placements.append(found)
 
 
@@ -238,9 +245,9 @@
 def when_engines_report(context, count, many, few):
     for number, upstream in enumerate(context.engines):
         running = many if number < count else few
-        attempt = context.beliefs.attempt(upstream, 0, "", context.now)
-        attempt.reported(Load(running, 0, 64), context.now)
-        attempt.ended(context.now)
+        attempt = context.upstream_states.start_attempt(upstream, 0, "", context.now)
+        attempt.record_load(Load(running, 0, 64), context.now)
+        attempt.finish(context.now)
 
 
 @then("it went to the engine with the fewest running requests")
@@ -251,7 +258,7 @@
 @when("its engine is told to read {tokens:d} tokens more")
 def when_engine_busy(context, tokens):
     upstream = context.placements[-1].upstream
-    context.beliefs.told(upstream, tokens, "others", context.now)
+    context.upstream_states.record_peer_prompt(upstream, tokens, "others", context.now)
 
 
 @then("the second goes elsewhere and fetches the parts from the first engine")
@@ -259,21 +266,21 @@
     first, second = context.placements
     assert second.upstream.id != first.upstream.id
     assert second.fetch_from is not None and second.fetch_from.id == first.upstream.id
-    assert second.unread_tokens == 4000, second
+    assert second.uncached_tokens == 4000, second
 
 
 @given("a teller before one known engine")
 def given_teller(context):
     board = Blackboard(Member("me", "vm", "z", "", ""))
     board.upstreams_by_id = {"engine": engine()}
-    context.beliefs = Beliefs()
+    context.upstream_states = UpstreamStates()
     context.port = DatagramPort("127.0.0.1:1", Metrics())
-    SendTeller(board, context.beliefs, context.port, StoppedClock(), random.Random(1))
+    SendNotifier(board, context.upstream_states, context.port, StoppedClock(), random.Random(1))
 
 
 @when("it takes the datagram {text}")
 def when_takes(context, text):
-    context.port.take(_datagram(text.strip()), "peer")
+    context.port.receive(_datagram(text.strip()), "peer")
 
 
 def _datagram(text):
@@ -287,7 +294,7 @@
 
 def believed_seconds(context):
     """Return how long the engine is believed to read."""
-    return context.beliefs.of(engine()).reading.backlog_seconds(0.0)
+    return context.upstream_states.get(engine()).prefill_queue.backlog_seconds(0.0)
 
 
 @then("nothing is believed to be read")
@@ -297,7 +304,7 @@
 
 @then("{tokens:d} tokens are believed to be read")
 def then_believed(context, tokens):
-    expected = context.beliefs.rates(SERVICE).seconds(tokens)
+    expected = context.upstream_states.prefill_times(SERVICE).estimate_seconds(tokens)
     assert abs(believed_seconds(context) - expected) < 0.01, believed_seconds(context)
 
 
@@ -318,9 +325,11 @@
 @then("gateway {number:d} believes that {name} keeps the prompt's parts")
 def then_believes(context, number, name):
     def check(scene):
-        beliefs = scene.applications[number - 1].beliefs
-        keepers = beliefs.kept.keepers(key_of(["a"]), SystemClock().monotonic())
-        assert list(keepers) == [name], keepers
+        upstream_states = scene.applications[number - 1].upstream_states
+        caching = upstream_states.cached_prefixes.caching_upstreams(
+            hash_prefix(["a"]), SystemClock().monotonic()
+        )
+        assert list(caching) == [name], caching
 
     context.gateway.play(check)
 
@@ -341,17 +350,17 @@
 @when("{count:d} first events of one engine take {factor:d} times as long as expected")
 def when_slow_events(context, count, factor):
     for _ in range(count):
-        attempt = context.beliefs.attempt(context.engines[0], 1000, "", context.now)
-        expected = context.beliefs.rates(SERVICE)
-        context.now += factor * (expected.base_seconds + expected.seconds(1000))
-        attempt.began(context.now)
-        attempt.ended(context.now)
+        attempt = context.upstream_states.start_attempt(context.engines[0], 1000, "", context.now)
+        expected = context.upstream_states.prefill_times(SERVICE)
+        context.now += factor * (expected.base_seconds + expected.estimate_seconds(1000))
+        attempt.record_first_event(context.now)
+        attempt.finish(context.now)
 
 
 @then("it is believed to take {least:g} to {most:g} times as long")
 @then("after {seconds:g} seconds it is believed to take {least:g} to {most:g} times as long")
 def then_slow(context, least, most, seconds=0.0):
-    found = context.beliefs.of(context.engines[0]).slowness(context.now + seconds)
+    found = context.upstream_states.get(context.engines[0]).slowdown(context.now + seconds)
     assert least <= found <= most, found
 
 
--- a/features/steps/gateway_fleet.py
+++ b/features/steps/gateway_fleet.py
@@ -7,7 +7,7 @@
 
 from features.fixtures_fleet import Node, World
 from quinceferry_gateway.blackboard import Member
-from quinceferry_gateway.fleet.digests import FORMAT, Digest, name_of
+from quinceferry_gateway.fleet.digests import DIGEST_FORMAT, Digest, incarnation_checksum
 from quinceferry_lab.virtual_time import run_virtual
 
 SETTLE_SECONDS = 8.0
@@ -258,15 +258,15 @@
         known = world.nodes[number].board.own
         stranger = Member("vm-x-1", "vm-x", "zone-x", "10.9.9.9:1", "10.9.9.9:1")
         digest = {
-            "of another form": Digest(FORMAT + 1, stranger, {}, [], {}),
-            "of itself": Digest(FORMAT, node.board.own, {}, [], {}),
-            "that names unknown members": Digest(FORMAT, known, {1: 0, 2: 0}, [3], {}),
+            "of another form": Digest(DIGEST_FORMAT + 1, stranger, {}, [], {}),
+            "of itself": Digest(DIGEST_FORMAT, node.board.own, {}, [], {}),
+            "that names unknown members": Digest(DIGEST_FORMAT, known, {1: 0, 2: 0}, [3], {}),
             "of an unknown one that is leaving": Digest(
-                FORMAT, stranger, {}, [name_of(stranger.incarnation)], {}
+                DIGEST_FORMAT, stranger, {}, [incarnation_checksum(stranger.incarnation)], {}
             ),
         }[fault]
         context.before = beliefs(node.board)
-        node.gossip.take(digest, "peer")
+        node.gossip.handle_digest(digest, "peer")
         context.after = beliefs(node.board)
 
     context.acts.append(get)
--- a/features/steps/gateway_fleet_parts.py
+++ b/features/steps/gateway_fleet_parts.py
@@ -145,9 +145,9 @@
         self._handlers_by_type = {}
         self.other = None
 
-    def handle(self, kind, handler):
+    def add_handler(self, message_type, handler):
         """Hand messages of a type to a handler."""
-        self._handlers_by_type[kind] = handler
+        self._handlers_by_type[message_type] = handler
 
     def send(self, message, addresses):
         """Send a message to the other port, unless it is lost."""
@@ -179,7 +179,7 @@
             await clock.sleep(seconds)
             return body
 
-        server.serve("echo", carry_out)
+        server.register_handler("echo", carry_out)
         context.answer = None
         timeout = TIMEOUT_SECONDS if seconds < TIMEOUT_SECONDS / 2 else 2.0
         try:
@@ -244,7 +244,7 @@
     async def suspend(world):
         node = world.nodes[number - 1]
         suspended_at = world.clock.monotonic()
-        node.gossip._suspended = lambda: float(seconds)
+        node.gossip._total_suspended_seconds = lambda: float(seconds)
         await world.clock.sleep(1.0)
         board = node.board
         context.read_at = (
--- a/features/steps/gateway_large_configurations.py
+++ b/features/steps/gateway_large_configurations.py
@@ -14,7 +14,7 @@
 from quinceferry_gateway.blackboard import Member
 from quinceferry_gateway.configuration_reader import ConfigurationCopy
 from quinceferry_gateway.exceptions import ConnectionBrokenError
-from quinceferry_gateway.fleet.digests import FORMAT, Digest, Summary
+from quinceferry_gateway.fleet.digests import DIGEST_FORMAT, CopySummary, Digest
 from quinceferry_gateway.fleet.packing import pack
 
 BYTES_PER_MEGABIT = 125_000
@@ -216,9 +216,9 @@
         application = scene.applications[0]
         address = "127.0.0.1:9"
         peer = Member("vm-9-1", "vm-9", "zone-a", address, address)
-        newer = Summary(application.blackboard.revision + 100, 1, 0)
-        digest = Digest(FORMAT, peer, {}, [], {"configuration": newer})
-        application._gossip.take(digest, address)
+        newer = CopySummary(application.blackboard.revision + 100, 1, 0)
+        digest = Digest(DIGEST_FORMAT, peer, {}, [], {"configuration": newer})
+        application._gossip.handle_digest(digest, address)
 
     context.gateway.acts.append(tell)
 
@@ -233,7 +233,7 @@
         context.first_revision = context.node.board.revision + 1_000
         for index in range(2):
             await world.clock.sleep(index * seconds)
-            newer = Summary(context.first_revision + 1_000 * index, index, 0)
+            newer = CopySummary(context.first_revision + 1_000 * index, index, 0)
             now = world.clock.monotonic()
             context.node.copies.compare(context.peer.board.own, {"configuration": newer}, now)
 
@@ -247,7 +247,7 @@
         now = world.clock.monotonic()
         reader = context.node.copies._lists_by_kind["configuration"]
         reader.adopt(msgspec.msgpack.encode(copy), "peer", now)
-        context.missed = context.node.copies.missed_seconds("configuration", now)
+        context.missed = context.node.copies.outdated_seconds("configuration", now)
 
     context.acts.append(get)
 
--- a/features/steps/gateway_membership.py
+++ b/features/steps/gateway_membership.py
@@ -10,7 +10,7 @@
 from quinceferry_gateway.blackboard import Blackboard, Member
 from quinceferry_gateway.catalog import Configuration
 from quinceferry_gateway.fleet.datagrams import DatagramPort
-from quinceferry_gateway.fleet.digests import FORMAT, Digest, name_of
+from quinceferry_gateway.fleet.digests import DIGEST_FORMAT, Digest, incarnation_checksum
 from quinceferry_gateway.fleet.gossip import Gossip
 from quinceferry_gateway.fleet_api import addresses
 from quinceferry_gateway.membership import MEMBER_PREFIX, MemberReader
@@ -36,8 +36,8 @@
         """Let b and c send digests."""
         while True:
             for name in {"b", "c"} - self.silent:
-                leaving = [name_of(name)] if name in self.stopping else []
-                gossip.take(Digest(FORMAT, member(name), {}, leaving, {}), name)
+                leaving = [incarnation_checksum(name)] if name in self.stopping else []
+                gossip.handle_digest(Digest(DIGEST_FORMAT, member(name), {}, leaving, {}), name)
             await clock.sleep(SPEAK_SECONDS)
 
 
--- a/features/steps/gateway_parts.py
+++ b/features/steps/gateway_parts.py
@@ -14,7 +14,7 @@
 
 from quinceferry_core.exceptions import SettingsError
 from quinceferry_gateway.catalog import Call, Load, PromptPart, Upstream
-from quinceferry_gateway.decisions import Beliefs, Demand, Placer
+from quinceferry_gateway.decisions import Demand, Placer, UpstreamStates
 from quinceferry_gateway.events import EventBuffer
 from quinceferry_gateway.logs import EventLog
 from quinceferry_gateway.retries import RetryBudget
@@ -80,7 +80,7 @@
 
 @when("all repeats among {members:d} gateways are taken")
 def when_taken(context, members):
-    while context.retries.take(members):
+    while context.retries.try_acquire(members):
         pass
 
 
@@ -92,7 +92,7 @@
 @then("{count:d} repeats are allowed among {members:d} gateways")
 def then_allowed(context, count, members):
     taken = 0
-    while context.retries.take(members):
+    while context.retries.try_acquire(members):
         taken += 1
     assert taken == count, taken
 
@@ -118,8 +118,8 @@
 
 @given("a router before {count:d} upstreams")
 def given_router(context, count):
-    context.beliefs = Beliefs()
-    context.router = Placer("z", context.beliefs, random.Random(1))
+    context.upstream_states = UpstreamStates()
+    context.router = Placer("z", context.upstream_states, random.Random(1))
     context.routed_at = 100.0
     context.candidates = [
         Upstream(f"u{number}", "llm", "", "z", 96, False) for number in range(count)
@@ -134,24 +134,24 @@
         call = Call(
             f"r{number}", b"POST", b"/", "h", "/", (), prompt_tokens=3010, prompt_parts=parts
         )
-        demand = Demand.of(call, 0.5)
+        demand = Demand.from_call(call, 0.5)
         context.routed_at += 0.2
         found = context.router.place(demand, context.candidates, (), context.routed_at)
-        context.attempt = context.beliefs.attempt(
-            found.upstream, found.unread_tokens, demand.shared_key, context.routed_at
+        context.attempt = context.upstream_states.start_attempt(
+            found.upstream, found.uncached_tokens, demand.prefix_key, context.routed_at
         )
-        context.attempt.ended(context.routed_at)
+        context.attempt.finish(context.routed_at)
         context.chosen.append(found.upstream)
 
 
 @when("that upstream reports {running:d} running and {waiting:d} waiting of {slots:d}")
 def when_reports(context, running, waiting, slots):
-    context.attempt.reported(Load(running, waiting, slots), context.routed_at)
+    context.attempt.record_load(Load(running, waiting, slots), context.routed_at)
 
 
 @when("that upstream fails")
 def when_upstream_fails(context):
-    context.attempt.failed(context.routed_at)
+    context.attempt.record_failure(context.routed_at)
 
 
 @then("one upstream got all prompts")
--- a/features/steps/gateway_rate_limits.py
+++ b/features/steps/gateway_rate_limits.py
@@ -8,7 +8,7 @@
 from features.steps.gateway_fleet import play
 from quinceferry_gateway.catalog import AnswerHead
 from quinceferry_gateway.fleet.calls import Call
-from quinceferry_gateway.permits import issuer_of
+from quinceferry_gateway.permits import permit_issuer
 from quinceferry_platform.headers import PlatformDialect
 
 WINDOW_SECONDS = 4.0
@@ -108,7 +108,7 @@
 )
 def when_issuer_killed(context, seconds):
     async def kill(world):
-        issuer = issuer_of(world.nodes[0].board, context.upstream.id)
+        issuer = permit_issuer(world.nodes[0].board, context.upstream.id)
         await next(node for node in world.nodes if node.vm == issuer.vm).stop()
 
     request_permits_during(context, seconds, kill)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/application.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/application.py
@@ -12,11 +12,11 @@
 from quinceferry_gateway.blackboard import Blackboard, Member, Phase
 from quinceferry_gateway.callers import CallerApi
 from quinceferry_gateway.configuration_reader import ConfigurationReader
-from quinceferry_gateway.crashes import CrashWatch
-from quinceferry_gateway.decisions import Beliefs, Placer
+from quinceferry_gateway.crashes import CrashMonitor
+from quinceferry_gateway.decisions import Placer, UpstreamStates
 from quinceferry_gateway.exchanges import Exchanges
 from quinceferry_gateway.fleet.calls import DatagramCalls
-from quinceferry_gateway.fleet.copies import Copies
+from quinceferry_gateway.fleet.copies import CopyReplicator
 from quinceferry_gateway.fleet.datagrams import DatagramPort
 from quinceferry_gateway.fleet.gossip import Gossip
 from quinceferry_gateway.fleet_api import PeerApi, serve_tokens
@@ -33,12 +33,12 @@
 from quinceferry_gateway.relay import Relay
 from quinceferry_gateway.reservations import Reservations
 from quinceferry_gateway.retries import RetryBudget
-from quinceferry_gateway.sends import SendTeller
+from quinceferry_gateway.sends import SendNotifier
 from quinceferry_gateway.server import HttpListener
 from quinceferry_gateway.settings import Settings
 from quinceferry_gateway.signals import UpstreamSignals
 from quinceferry_gateway.transport import HttpClient
-from quinceferry_gateway.upstream_choice import UpstreamChoice
+from quinceferry_gateway.upstream_choice import UpstreamSelector
 from quinceferry_gateway.upstream_reader import UpstreamReader
 
 PEER_IDLE_SECONDS = 5.0
@@ -93,8 +93,8 @@
         self.holder = TokenHolder(board, store, clock, settings.budgets, draws)
         self.reservations = Reservations(board, self.holder, peers, clock, settings.budgets)
         self._registration = Registration(board, store, clock)
-        self.beliefs = beliefs = Beliefs()
-        teller = SendTeller(board, beliefs, port, clock, draws)
+        self.upstream_states = upstream_states = UpstreamStates()
+        send_notifier = SendNotifier(board, upstream_states, port, clock, draws)
         heartbeat_seconds = settings.store.heartbeat_milliseconds / 1000
         bounds = settings.freshness
         configuration = ConfigurationReader(
@@ -106,10 +106,10 @@
         members = MemberReader(board, snapshots, clock, draws, self._registration.written)
         self._gossip = Gossip(board, members, port, clock, draws, suspended_seconds)
         lists_by_kind = {CONFIGURATION: configuration, "upstreams": upstreams, "members": members}
-        copies = Copies(lists_by_kind, peers, clock, self._gossip.renewed)
+        copies = CopyReplicator(lists_by_kind, peers, clock, self._gossip.copies_updated)
         quarantine = Quarantine(settings.quarantine.crashes, settings.quarantine.hold_seconds)
-        crashes = CrashWatch(board, quarantine, http, port, clock, metrics)
-        self._gossip.use(copies, crashes)
+        crashes = CrashMonitor(board, quarantine, http, port, clock, metrics)
+        self._gossip.attach(copies, crashes)
         serve_tokens(calls, self.holder)
         self._controllers = [
             port,
@@ -125,16 +125,16 @@
             crashes,
             QuarantineRecords(board, store, clock, crashes),
         ]
-        signals = UpstreamSignals(board, beliefs, port, clock, metrics)
-        permits = SendPermits(board, beliefs, calls, clock, metrics)
-        placer = Placer(settings.gateway.zone, beliefs, random.Random())
-        choice = UpstreamChoice(board, beliefs, placer, permits, clock)
+        signals = UpstreamSignals(board, upstream_states, port, clock, metrics)
+        permits = SendPermits(board, upstream_states, calls, clock, metrics)
+        placer = Placer(settings.gateway.zone, upstream_states, random.Random())
+        selector = UpstreamSelector(board, upstream_states, placer, permits, clock)
         exchanges = Exchanges(dialect, http, clock, metrics, signals)
         relay = Relay(
             board,
-            beliefs,
-            choice,
-            teller,
+            upstream_states,
+            selector,
+            send_notifier,
             dialect,
             exchanges,
             clock,
@@ -238,7 +238,7 @@
             configuration = self.blackboard.configuration
             if configuration is not None:
                 self._callers.set_idle_seconds(configuration.limits.idle_seconds)
-            self.beliefs.forget(self.blackboard.upstreams_by_id)
+            self.upstream_states.discard_missing(self.blackboard.upstreams_by_id)
             await self._clock.sleep(HOUSEKEEPING_SECONDS)
 
     def _age_seconds(self, read_at: float | None) -> float | None:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/attempt_log.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/attempt_log.py
@@ -20,10 +20,10 @@
         "request": progress.call.request_id,
         "upstream": placement.upstream.id,
         "address": placement.upstream.address,
-        "attempt": len(progress.tried),
+        "attempt": len(progress.tried_upstream_ids),
     }
-    if placement.unread_tokens:
-        fields["unread"] = placement.unread_tokens
+    if placement.uncached_tokens:
+        fields["unread"] = placement.uncached_tokens
         fields["backlog_seconds"] = round(placement.backlog_seconds, 3)
     if placement.fetch_from is not None:
         fields["fetched_from"] = placement.fetch_from.id
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/callers.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/callers.py
@@ -21,7 +21,7 @@
     Route,
     Workspace,
 )
-from quinceferry_gateway.crashes import CrashWatch, quarantine_refusal
+from quinceferry_gateway.crashes import CrashMonitor, quarantine_refusal
 from quinceferry_gateway.decisions import Demand
 from quinceferry_gateway.events import EventBuffer, StreamPace
 from quinceferry_gateway.exceptions import BadCallError, CallerGoneError
@@ -55,7 +55,7 @@
         metrics: Metrics,
         clock: Clock,
         source: random.Random,
-        crashes: CrashWatch,
+        crashes: CrashMonitor,
         freshness: ConfigurationFreshness,
     ) -> None:
         self._crashes = crashes
@@ -145,7 +145,7 @@
         if workspace is None and configuration.workspaces_by_key and not route.anonymous:
             return self._deny(Reason.UNKNOWN_KEY, configuration)
         progress = self._progress(exchange, call, route, workspace, started_at)
-        held_seconds = self._crashes.held_seconds(progress)
+        held_seconds = self._crashes.quarantine_seconds(progress)
         return quarantine_refusal(progress, held_seconds) if held_seconds else progress
 
     def _deny(self, reason: Reason, configuration: Configuration) -> Refusal:
@@ -169,7 +169,7 @@
         stream = CallerStream(
             exchange.begin, exchange.send, EventBuffer(call.resume_after), StreamPace(started_at)
         )
-        demand = Demand.of(call, route.pause_seconds)
+        demand = Demand.from_call(call, route.max_pause_seconds)
         service = self._service(route)
         return Progress(call, route, service, workspace, started_at + timeout, stream, demand)
 
@@ -263,7 +263,7 @@
             workspace=progress.workspace_name,
             route=progress.route.name,
             tokens=self._used(progress),
-            attempts=len(progress.tried),
+            attempts=len(progress.tried_upstream_ids),
             seconds=round(seconds, 4),
         )
 
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/catalog.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/catalog.py
@@ -24,8 +24,8 @@
 class Route:
     """Where requests of a host and path prefix go, and how long they may take.
 
-    ``pause_seconds`` is the longest pause between events of a stream that its callers accept, zero
-    where none is named.
+    ``max_pause_seconds`` is the longest pause between events of a stream that callers accept, zero
+    if not configured.
     """
 
     name: str
@@ -39,10 +39,10 @@
     attempts: int
     anonymous: bool = False
     resumable: bool = False
-    pause_seconds: float = 0.0
+    max_pause_seconds: float = 0.0
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Tell whether a request may be sent again after it may have run."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAM and self.resumable
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/configuration_reader.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/configuration_reader.py
@@ -15,14 +15,14 @@
 from quinceferry_gateway.catalog import Configuration
 from quinceferry_gateway.controllers import Controller
 from quinceferry_gateway.exceptions import ConfigurationError, WatchLostError
-from quinceferry_gateway.fleet.digests import Summary, summary_of
-from quinceferry_gateway.fleet.duties import (
+from quinceferry_gateway.fleet.digests import CopySummary, summarize_copy
+from quinceferry_gateway.fleet.packing import pack, unpack
+from quinceferry_gateway.fleet.read_schedule import (
     INTERVAL_SHARE,
-    LIMIT_SHARE,
-    UNTRIED_SECONDS,
+    MAX_AGE_SHARE,
+    SKIPPED_READ_SECONDS,
     ReadSchedule,
 )
-from quinceferry_gateway.fleet.packing import pack, unpack
 from quinceferry_gateway.interfaces import CatalogSource
 from quinceferry_gateway.logs import log
 from quinceferry_gateway.store_health import note_answer, note_failure
@@ -69,7 +69,7 @@
         self._blackboard = blackboard
         self._source = source
         self._clock = clock
-        self._schedule = ReadSchedule(0.0, LIMIT_SHARE * bound_seconds, draws)
+        self._schedule = ReadSchedule(0.0, MAX_AGE_SHARE * bound_seconds, draws)
         self._watch_seconds = min(MAX_WATCH_SECONDS, INTERVAL_SHARE * bound_seconds)
         self._refused: bytes = b""
         self._changed = False
@@ -121,11 +121,11 @@
             origin=origin,
         )
 
-    def summary(self, now: float) -> Summary | None:
+    def summary(self, now: float) -> CopySummary | None:
         """Return which copy this gateway has, None without one."""
         board = self._blackboard
         read_at = None if board.configuration is None else board.configuration_read_at
-        return summary_of(board.revision, self._content, read_at, now)
+        return summarize_copy(board.revision, self._content, read_at, now)
 
     def confirm(self, revision: int, asked_at: float) -> None:
         """Note that the configuration in force was the newest at that time and revision."""
@@ -177,7 +177,7 @@
                 known = False
                 note_failure(board, error)
                 read_at, now = board.configuration_read_at, self._clock.monotonic()
-                self._schedule.failed(board.reader, read_at, now)
+                self._schedule.read_failed(board.reader, read_at, now)
 
     def _pause_seconds(self, now: float) -> float:
         """Return how long not to read; zero when a reading is due."""
@@ -185,14 +185,14 @@
         read_at = board.configuration_read_at
         pause = self._schedule.pause_seconds(board.reader, read_at, now)
         if not pause and board.leaves_unread(read_at):
-            return UNTRIED_SECONDS
+            return SKIPPED_READ_SECONDS
         return pause
 
     async def _watch(self, asked_at: float) -> bool:
         """Wait for a change; tell whether there is a configuration."""
         known = self._blackboard.revision
         wait_seconds = self._wait_seconds()
-        self._schedule.began(asked_at)
+        self._schedule.read_started(asked_at)
         found = await self._source.next_configuration(known, wait_seconds)
         self._changed = found is not None
         if found is not None:
@@ -210,11 +210,11 @@
     async def _read(self) -> bool:
         """Read the newest configuration; tell whether there is one."""
         asked_at = self._clock.monotonic()
-        self._schedule.began(asked_at)
+        self._schedule.read_started(asked_at)
         found = await self._source.configuration()
         note_answer(self._blackboard)
         if found is None:
-            self._schedule.wait(UNSET_RETRY_SECONDS, self._clock.monotonic())
+            self._schedule.delay(UNSET_RETRY_SECONDS, self._clock.monotonic())
             return False
         return self._take(*found, asked_at)
 
@@ -223,5 +223,5 @@
         if self.offer(document, revision, "store"):
             self.confirm(revision, asked_at)
             return True
-        self._schedule.wait(UNREADABLE_RETRY_SECONDS, self._clock.monotonic())
+        self._schedule.delay(UNREADABLE_RETRY_SECONDS, self._clock.monotonic())
         return False
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/crashes.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/crashes.py
@@ -22,15 +22,15 @@
 from quinceferry_gateway.progress import Progress
 from quinceferry_gateway.transport import HttpClient
 
-LISTEN_CHECK_SECONDS = 0.3
+LISTEN_CHECK_TIMEOUT_SECONDS = 0.3
 """Longest wait for a connection to an upstream that may have crashed: a refusal comes within a
 round trip, and one lost packet takes some 200 ms. The request's own next attempt waits for it."""
-MAX_NAME_CHARACTERS = 200
+MAX_ID_CHARACTERS = 200
 """Longest name of a content or lifetime that is believed."""
-MAX_ENDED = 256
+MAX_STOPPED_LIFETIMES = 256
 """Lifetimes of upstreams that are remembered as ended."""
 
-Concluded = Callable[[str, float, bool], None]
+QuarantineListener = Callable[[str, float, bool], None]
 """Takes a content that this gateway put into quarantine, for how many seconds, and whether on
 evidence of its own."""
 
@@ -59,7 +59,7 @@
     return Refusal(Reason.QUARANTINED, detail, retry_seconds=held_seconds)
 
 
-class CrashWatch(Controller):
+class CrashMonitor(Controller):
     """Collects evidence of crashes, shares it, and tells which content is in quarantine.
 
     ``concluded`` is called when evidence puts content into quarantine, ``renewed`` when anything
@@ -85,21 +85,23 @@
         self._clock = clock
         self._metrics = metrics
         self._checks_by_lifetime: dict[str, asyncio.Task[None]] = {}
-        self._ended_lifetimes: dict[str, None] = {}
-        self._settling: set[str] = set()
-        self.concluded: Concluded = lambda content, seconds, by_own_evidence: None
-        self.renewed: Callable[[], None] = lambda: None
-        metrics.observe_quarantine(lambda: len(self.held()))
-        port.handle(CrashReport, self._take_report)
-        port.handle(CompletionReport, self._take_completion)
-
-    def held_seconds(self, progress: Progress) -> float:
+        self._stopped_lifetimes: dict[str, None] = {}
+        self._settling_lifetimes: set[str] = set()
+        self.on_quarantine_decided: QuarantineListener = (
+            lambda content, seconds, by_own_evidence: None
+        )
+        self.on_quarantine_changed: Callable[[], None] = lambda: None
+        metrics.observe_quarantine(lambda: len(self.quarantined_seconds()))
+        port.add_handler(CrashReport, self._handle_crash_report)
+        port.add_handler(CompletionReport, self._handle_completion_report)
+
+    def quarantine_seconds(self, progress: Progress) -> float:
         """Return how long a request's content stays in quarantine, zero if it may run."""
         if self._quarantine.is_empty:
             return 0.0
         return self._quarantine.remaining_seconds(progress.fingerprint, self._clock.monotonic())
 
-    def may_repeat(self, progress: Progress) -> bool:
+    def may_retry(self, progress: Progress) -> bool:
         """Tell whether a request may go to another upstream after one broke off.
 
         It may not when one more crash would put its content into quarantine: if the content is the
@@ -110,36 +112,38 @@
             progress.fingerprint, now
         )
 
-    def completed(self, progress: Progress) -> None:
+    def request_completed(self, progress: Progress) -> None:
         """Note that a request was answered by an upstream that works on."""
         if self._quarantine.is_empty or not self._quarantine.is_suspected(progress.fingerprint):
             return
-        self._take_completion(CompletionReport(progress.fingerprint), "own")
-        self._tell(CompletionReport(progress.fingerprint))
+        self._handle_completion_report(CompletionReport(progress.fingerprint), "own")
+        self._send_to_peers(CompletionReport(progress.fingerprint))
 
-    async def closed(self, progress: Progress, upstream: Upstream, stage: RunStage) -> None:
+    async def connection_closed(
+        self, progress: Progress, upstream: Upstream, stage: RunStage
+    ) -> None:
         """Take that an upstream closed the connection of a request in the middle.
 
         Returns when it is known whether the upstream crashed; what follows from it is done even if
         the caller leaves meanwhile.
         """
-        work = self.spawn(self._judge(progress, upstream, stage), "crash")
-        await asyncio.shield(work)
+        check = self.spawn(self._check_crash(progress, upstream, stage), "crash")
+        await asyncio.shield(check)
 
-    def hold(self, seconds_by_content: dict[str, float], origin: str) -> None:
+    def add_quarantined(self, seconds_by_content: dict[str, float], origin: str) -> None:
         """Take from a peer or the store what is in quarantine."""
         now = self._clock.monotonic()
-        news = [
+        new_contents = [
             content
             for content, seconds in seconds_by_content.items()
-            if len(content) <= MAX_NAME_CHARACTERS and self._quarantine.adopt(content, seconds, now)
+            if len(content) <= MAX_ID_CHARACTERS and self._quarantine.adopt(content, seconds, now)
         ]
-        for content in news:
-            self._log_hold(content, origin)
-        if news:
-            self.renewed()
+        for content in new_contents:
+            self._log_quarantine(content, origin)
+        if new_contents:
+            self.on_quarantine_changed()
 
-    def held(self) -> dict[str, int]:
+    def quarantined_seconds(self) -> dict[str, int]:
         """Return what is in quarantine and for how many whole seconds, for a digest.
 
         Rounded down, so that two gateways which hand it to each other come to its end.
@@ -147,10 +151,10 @@
         seconds_by_content = self._quarantine.remaining_seconds_by_content(self._clock.monotonic())
         return {content: int(left) for content, left in seconds_by_content.items() if left >= 1}
 
-    async def _judge(self, progress: Progress, upstream: Upstream, stage: RunStage) -> None:
+    async def _check_crash(self, progress: Progress, upstream: Upstream, stage: RunStage) -> None:
         """Find out whether an upstream crashed, and note and tell which request it had."""
         lifetime = f"{upstream.id}@{upstream.started_at}"
-        if not await self._has_ended(lifetime, upstream):
+        if not await self._has_stopped(lifetime, upstream):
             return
         report = CrashReport(lifetime, progress.fingerprint, stage)
         log.change(
@@ -160,70 +164,72 @@
             content=progress.fingerprint,
             stage=stage.name.lower(),
         )
-        self._tell(report)
-        self._take(report, "own", by_own_evidence=True)
+        self._send_to_peers(report)
+        self._record_crash(report, "own", by_own_evidence=True)
 
-    async def _has_ended(self, lifetime: str, upstream: Upstream) -> bool:
+    async def _has_stopped(self, lifetime: str, upstream: Upstream) -> bool:
         """Tell whether nobody listens at an upstream's address any more.
 
         A single connection that breaks shows no crash: links are reset, and sound upstreams close
         connections. Requests that break together share one check.
         """
-        if lifetime in self._ended_lifetimes:
+        if lifetime in self._stopped_lifetimes:
             return True
         check = self._checks_by_lifetime.get(lifetime)
         if check is None:
-            check = self.spawn(self._check(lifetime, upstream), "listens")
+            check = self.spawn(self._check_listening(lifetime, upstream), "listens")
             self._checks_by_lifetime[lifetime] = check
             check.add_done_callback(lambda _: self._checks_by_lifetime.pop(lifetime, None))
         await asyncio.shield(check)
-        return lifetime in self._ended_lifetimes
+        return lifetime in self._stopped_lifetimes
 
-    async def _check(self, lifetime: str, upstream: Upstream) -> None:
+    async def _check_listening(self, lifetime: str, upstream: Upstream) -> None:
         """Remember an upstream as ended if nobody listens there."""
-        if await self._http.listens(upstream.address, LISTEN_CHECK_SECONDS):
+        if await self._http.listens(upstream.address, LISTEN_CHECK_TIMEOUT_SECONDS):
             return
         self._metrics.upstream_crashed(upstream.service)
-        self._ended_lifetimes[lifetime] = None
-        while len(self._ended_lifetimes) > MAX_ENDED:
-            del self._ended_lifetimes[next(iter(self._ended_lifetimes))]
+        self._stopped_lifetimes[lifetime] = None
+        while len(self._stopped_lifetimes) > MAX_STOPPED_LIFETIMES:
+            del self._stopped_lifetimes[next(iter(self._stopped_lifetimes))]
 
-    def _take_report(self, report: CrashReport, sender: object) -> None:
+    def _handle_crash_report(self, report: CrashReport, sender: object) -> None:
         """Take a peer's evidence."""
-        if max(len(report.content), len(report.lifetime)) > MAX_NAME_CHARACTERS:
+        if max(len(report.content), len(report.lifetime)) > MAX_ID_CHARACTERS:
             log.failure("crash.malformed", peer=str(sender))
             return
-        self._take(report, str(sender))
+        self._record_crash(report, str(sender))
 
-    def _take(self, report: CrashReport, origin: str, by_own_evidence: bool = False) -> None:
+    def _record_crash(
+        self, report: CrashReport, origin: str, by_own_evidence: bool = False
+    ) -> None:
         """Take evidence, and what follows from it."""
         now = self._clock.monotonic()
-        if report.lifetime not in self._settling:
-            self._settling.add(report.lifetime)
-            self.spawn(self._settle(report.lifetime), "crash evidence")
+        if report.lifetime not in self._settling_lifetimes:
+            self._settling_lifetimes.add(report.lifetime)
+            self.spawn(self._settle_evidence(report.lifetime), "crash evidence")
         if self._quarantine.record_crash(report.lifetime, report.content, report.stage, now):
-            self._conclude(report.content, origin, by_own_evidence)
+            self._announce_quarantine(report.content, origin, by_own_evidence)
 
-    async def _settle(self, lifetime: str) -> None:
+    async def _settle_evidence(self, lifetime: str) -> None:
         """Draw conclusions from a crash once all peers must have told of it."""
         await self._clock.sleep(EVIDENCE_DELAY_SECONDS)
-        self._settling.discard(lifetime)
+        self._settling_lifetimes.discard(lifetime)
         for content in self._quarantine.evaluate_crash(lifetime, self._clock.monotonic()):
-            self._conclude(content, "settled", by_own_evidence=False)
+            self._announce_quarantine(content, "settled", by_own_evidence=False)
 
-    def _conclude(self, content: str, origin: str, by_own_evidence: bool) -> None:
+    def _announce_quarantine(self, content: str, origin: str, by_own_evidence: bool) -> None:
         """Let others know that content is in quarantine."""
-        self._log_hold(content, origin)
+        self._log_quarantine(content, origin)
         seconds = self._quarantine.remaining_seconds(content, self._clock.monotonic())
-        self.concluded(content, seconds, by_own_evidence)
-        self.renewed()
+        self.on_quarantine_decided(content, seconds, by_own_evidence)
+        self.on_quarantine_changed()
 
-    def _take_completion(self, report: CompletionReport, sender: object) -> None:
+    def _handle_completion_report(self, report: CompletionReport, sender: object) -> None:
         """Take that content was answered."""
         for content in self._quarantine.record_completion(report.content, self._clock.monotonic()):
-            self._conclude(content, str(sender), by_own_evidence=False)
+            self._announce_quarantine(content, str(sender), by_own_evidence=False)
 
-    def _log_hold(self, content: str, origin: str) -> None:
+    def _log_quarantine(self, content: str, origin: str) -> None:
         """Log that content is in quarantine, and for which crashes as far as known here."""
         now = self._clock.monotonic()
         log.change(
@@ -234,6 +240,6 @@
             crashed=self._quarantine.attributed_crashes(content, now),
         )
 
-    def _tell(self, message: msgspec.Struct) -> None:
+    def _send_to_peers(self, message: msgspec.Struct) -> None:
         """Send a message to all peers, those that seem unreachable among them."""
         self._port.send(message, [peer.peer_address for peer in self._blackboard.peers()])
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/__init__.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/__init__.py
@@ -4,7 +4,7 @@
 clock. Each module answers one question and opens with the load that it is made for.
 """
 
-from quinceferry_gateway.decisions.beliefs import Attempt, Beliefs
 from quinceferry_gateway.decisions.placement import Demand, Placement, PlacementPolicy, Placer
+from quinceferry_gateway.decisions.upstream_states import Attempt, UpstreamStates
 
-__all__ = ["Attempt", "Beliefs", "Demand", "Placement", "PlacementPolicy", "Placer"]
+__all__ = ["Attempt", "UpstreamStates", "Demand", "Placement", "PlacementPolicy", "Placer"]
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/placement.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/placement.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass
 
 from quinceferry_gateway.catalog import Call, Upstream
-from quinceferry_gateway.decisions.beliefs import Belief, Beliefs
-from quinceferry_gateway.decisions.kept_parts import key_of
-from quinceferry_gateway.rendezvous import ranked
+from quinceferry_gateway.decisions.cached_prefixes import hash_prefix
+from quinceferry_gateway.decisions.upstream_states import UpstreamState, UpstreamStates
+from quinceferry_gateway.rendezvous import rank_candidates
 
-UNBOUNDED_PAUSE_SECONDS = 0.5
+DEFAULT_MAX_PAUSE_SECONDS = 0.5
 """Accepted pause where the configuration names none."""
 
 
@@ -30,36 +30,36 @@
     The shares of pauses refer to the longest pause that callers accept.
     """
 
-    harmless_share: float = 0.5
+    undelayed_pause_share: float = 0.5
     """Reading in a row up to this share harms no stream: the tokens of one event take the rest."""
-    harmful_share: float = 1.0
+    delayed_pause_share: float = 1.0
     """Reading in a row from this share on makes every stream of the engine late."""
-    harm_seconds: float = 0.1
+    stream_delay_cost_seconds: float = 0.1
     """One stream that is held up too long. On the load of the tank book-keeping the model earns
     0.90 of the worth with it, 0.87 without; on that of the fleet underwriting as much either way.
     """
-    away_seconds: float = 0.05
+    cache_miss_cost_seconds: float = 0.05
     """Leaving the engines that keep the shared parts: a fetch over the engines' links, or reading
     some thousand tokens again where it fails."""
-    fetches: bool = True
+    fetches_prefixes: bool = True
     """Whether shared parts are fetched from an engine that keeps them."""
-    far_seconds: float = 0.01
+    other_zone_cost_seconds: float = 0.01
     """An engine of another zone, a tie-breaker: in a model of six engines in four zones, 0.47 of
     the requests cross zones instead of 0.74, and 0.01 less of the worth is earned."""
-    sound_slowness: float = 1.5
+    max_normal_slowdown: float = 1.5
     """How many times as long as expected first events may take at a sound engine; that much comes
     from prompts of which no gateway was told, and would outweigh the zone."""
-    slow_seconds: float = 0.1
+    slowdown_cost_seconds: float = 0.1
     """Each further time that first events take longer. With one engine of five slow for 7 of 24 s,
     0.91 of the worth is earned in the model, 0.90 without."""
-    new_parts_seconds: float = 0.005
+    unranked_cost_seconds: float = 0.005
     """Reading new parts elsewhere than where other gateways look for them first."""
-    most_considered: int = 12
+    max_ranked_candidates: int = 12
     """Engines weighed for one prompt besides those that keep its parts; the first of an order that
     all gateways share. Weighing all of a hundred takes 0.4 ms of processor time, twelve 0.2 ms."""
-    crowded_share: float = 0.85
+    overload_slot_share: float = 0.85
     """Share of slots in use beyond which an upstream counts as crowded."""
-    crowded_seconds: float = 1.0
+    overload_cost_seconds: float = 1.0
     """A crowded upstream; preempted streams pause for some hundred milliseconds."""
 
 
@@ -70,28 +70,28 @@
 class Demand:
     """What a request asks of an engine.
 
-    ``shared_key`` names the parts of the prompt that other requests are likely to share, empty for
-    a request without a prompt. ``pause_seconds`` is the longest pause that streams may make.
+    ``prefix_key`` names the parts of the prompt that other requests are likely to share, empty for
+    a request without a prompt. ``max_pause_seconds`` is the longest pause that streams may make.
     """
 
-    shared_key: str = ""
-    shared_tokens: int = 0
-    own_tokens: int = 0
-    pause_seconds: float = UNBOUNDED_PAUSE_SECONDS
+    prefix_key: str = ""
+    prefix_tokens: int = 0
+    suffix_tokens: int = 0
+    max_pause_seconds: float = DEFAULT_MAX_PAUSE_SECONDS
 
     @classmethod
-    def of(cls, call: Call, pause_seconds: float) -> "Demand":
+    def from_call(cls, call: Call, max_pause_seconds: float) -> "Demand":
         """Return what a call asks of an engine."""
         if not call.prompt_parts:
             return cls()
         # The last part belongs to the request itself, unless it is the only one.
         shared = call.prompt_parts[:-1] or call.prompt_parts
-        shared_tokens = min(sum(part.tokens for part in shared), call.prompt_tokens)
+        prefix_tokens = min(sum(part.tokens for part in shared), call.prompt_tokens)
         return cls(
-            shared_key=key_of([part.id for part in shared]),
-            shared_tokens=shared_tokens,
-            own_tokens=call.prompt_tokens - shared_tokens,
-            pause_seconds=pause_seconds or UNBOUNDED_PAUSE_SECONDS,
+            prefix_key=hash_prefix([part.id for part in shared]),
+            prefix_tokens=prefix_tokens,
+            suffix_tokens=call.prompt_tokens - prefix_tokens,
+            max_pause_seconds=max_pause_seconds or DEFAULT_MAX_PAUSE_SECONDS,
         )
 
 
@@ -99,28 +99,28 @@
 class Placement:
     """Where a request goes.
 
-    ``unread_tokens`` are those that the upstream has to read; ``fetch_from`` is an engine that
+    ``uncached_tokens`` are those that the upstream has to read; ``fetch_from`` is an engine that
     likely keeps the shared parts, when the chosen one does not; ``backlog_seconds`` is how long the
-    chosen one is believed to read before, ``reading_seconds`` how long it reads this prompt.
+    chosen one is believed to read before, ``prefill_seconds`` how long it reads this prompt.
     """
 
     upstream: Upstream
-    unread_tokens: int = 0
+    uncached_tokens: int = 0
     fetch_from: Upstream | None = None
     backlog_seconds: float = 0.0
-    reading_seconds: float = 0.0
+    prefill_seconds: float = 0.0
 
 
 @dataclass(slots=True)
-class _Search:
-    """What the choice for one prompt depends on; ``order`` ranks upstreams by the shared parts."""
+class _Candidates:
+    """What the choice for one prompt depends on; ``ranked_ids`` are ordered by rendezvous hash."""
 
     demand: Demand
-    by_id: dict[str, Upstream]
-    order: list[str]
-    keepers: dict[str, float]
-    unread_tokens: int
-    reading_seconds: float
+    upstreams_by_id: dict[str, Upstream]
+    ranked_ids: list[str]
+    caching_by_id: dict[str, float]
+    uncached_tokens: int
+    prefill_seconds: float
     now: float
 
 
@@ -134,14 +134,14 @@
     def __init__(
         self,
         zone: str,
-        beliefs: Beliefs,
-        source: random.Random,
+        upstream_states: UpstreamStates,
+        tie_breaker: random.Random,
         policy: PlacementPolicy = DEFAULT_POLICY,
     ) -> None:
         self._policy = policy
         self._zone = zone
-        self._beliefs = beliefs
-        self._random = source
+        self._upstream_states = upstream_states
+        self._tie_breaker = tie_breaker
 
     def place(
         self,
@@ -158,9 +158,9 @@
         usable = self._usable(candidates, excluded, now)
         if not usable:
             return None
-        if not demand.shared_key:
-            return Placement(min(usable, key=lambda item: self._busyness(item, now)))
-        return self._by_prompt(demand, usable, now)
+        if not demand.prefix_key:
+            return Placement(min(usable, key=lambda item: self._load_order(item, now)))
+        return self._place_prompt(demand, usable, now)
 
     def _usable(
         self, candidates: Collection[Upstream], excluded: Collection[str], now: float
@@ -171,81 +171,119 @@
             for item in candidates
             if not item.draining
             and item.id not in excluded
-            and not self._beliefs.is_leaving(item)
-            and self._beliefs.of(item).misdirected_until <= now
-            and self._beliefs.of(item).pause.blocked_until <= now
+            and not self._upstream_states.is_leaving(item)
+            and self._upstream_states.get(item).misdirected_until <= now
+            and self._upstream_states.get(item).pause.blocked_until <= now
         ]
-        sound = [item for item in usable if self._beliefs.of(item).suspect_until <= now]
-        return sound or usable
+        healthy = [item for item in usable if self._upstream_states.get(item).suspect_until <= now]
+        return healthy or usable
 
-    def _by_prompt(self, demand: Demand, usable: list[Upstream], now: float) -> Placement:
+    def _place_prompt(self, demand: Demand, usable: list[Upstream], now: float) -> Placement:
         """Return the engine where a prompt costs least."""
-        search = self._search(demand, usable, now)
-        considered = dict.fromkeys([*search.order[: self._policy.most_considered], *search.keepers])
-        chosen = min(considered, key=lambda key: self._cost(search, key))
-        upstream = search.by_id[chosen]
+        candidates = self._collect_candidates(demand, usable, now)
+        considered = dict.fromkeys(
+            [
+                *candidates.ranked_ids[: self._policy.max_ranked_candidates],
+                *candidates.caching_by_id,
+            ]
+        )
+        chosen = min(considered, key=lambda upstream_id: self._cost(candidates, upstream_id))
+        upstream = candidates.upstreams_by_id[chosen]
         return Placement(
             upstream,
-            search.unread_tokens,
-            fetch_from=_fetch_from(search, chosen) if self._policy.fetches else None,
-            backlog_seconds=self._beliefs.of(upstream).reading.backlog_seconds(now),
-            reading_seconds=search.reading_seconds,
+            candidates.uncached_tokens,
+            fetch_from=(_fetch_from(candidates, chosen) if self._policy.fetches_prefixes else None),
+            backlog_seconds=self._upstream_states.get(upstream).prefill_queue.backlog_seconds(now),
+            prefill_seconds=candidates.prefill_seconds,
         )
 
-    def _search(self, demand: Demand, usable: list[Upstream], now: float) -> _Search:
+    def _collect_candidates(
+        self, demand: Demand, usable: list[Upstream], now: float
+    ) -> _Candidates:
         """Collect what the choice depends on."""
-        by_id = {item.id: item for item in usable}
-        known = self._beliefs.kept.keepers(demand.shared_key, now)
-        keepers = {key: at for key, at in known.items() if key in by_id}
-        unread = demand.own_tokens if keepers else demand.own_tokens + demand.shared_tokens
-        rates = self._beliefs.rates(usable[0].service)
-        order = ranked(demand.shared_key, by_id)
-        return _Search(demand, by_id, order, keepers, unread, rates.seconds(unread), now)
-
-    def _cost(self, search: _Search, key: str) -> float:
+        upstreams_by_id = {item.id: item for item in usable}
+        caching = self._upstream_states.cached_prefixes.caching_upstreams(demand.prefix_key, now)
+        caching_by_id = {
+            upstream_id: at for upstream_id, at in caching.items() if upstream_id in upstreams_by_id
+        }
+        uncached = (
+            demand.suffix_tokens if caching_by_id else demand.suffix_tokens + demand.prefix_tokens
+        )
+        prefill_times = self._upstream_states.prefill_times(usable[0].service)
+        ranked_ids = rank_candidates(demand.prefix_key, upstreams_by_id)
+        return _Candidates(
+            demand,
+            upstreams_by_id,
+            ranked_ids,
+            caching_by_id,
+            uncached,
+            prefill_times.estimate_seconds(uncached),
+            now,
+        )
+
+    def _cost(self, candidates: _Candidates, upstream_id: str) -> float:
         """Return what a prompt costs at an engine, in seconds of its own waiting."""
         policy = self._policy
-        belief = self._beliefs.of(search.by_id[key])
-        wait = belief.reading.backlog_seconds(search.now)
-        after = wait + search.reading_seconds
-        more_harm = self._harm(after, search.demand) - self._harm(wait, search.demand)
-        cost = wait + policy.harm_seconds * more_harm * belief.running(search.now)
-        slowness = belief.slowness(search.now)
-        cost += policy.slow_seconds * max(0.0, slowness - policy.sound_slowness)
-        if search.by_id[key].zone != self._zone:
-            cost += policy.far_seconds
-        if search.keepers:
-            cost += policy.away_seconds * (key not in search.keepers)
+        state = self._upstream_states.get(candidates.upstreams_by_id[upstream_id])
+        wait = state.prefill_queue.backlog_seconds(candidates.now)
+        wait_after = wait + candidates.prefill_seconds
+        added_delay_share = self._stream_delay_share(
+            wait_after, candidates.demand
+        ) - self._stream_delay_share(wait, candidates.demand)
+        cost = (
+            wait
+            + policy.stream_delay_cost_seconds
+            * added_delay_share
+            * state.estimated_running(candidates.now)
+        )
+        slowdown = state.slowdown(candidates.now)
+        cost += policy.slowdown_cost_seconds * max(0.0, slowdown - policy.max_normal_slowdown)
+        if candidates.upstreams_by_id[upstream_id].zone != self._zone:
+            cost += policy.other_zone_cost_seconds
+        if candidates.caching_by_id:
+            cost += policy.cache_miss_cost_seconds * (upstream_id not in candidates.caching_by_id)
         else:
-            cost += policy.new_parts_seconds * (key != search.order[0])
-        if self._crowded(belief, search.now):
-            cost += policy.crowded_seconds
+            cost += policy.unranked_cost_seconds * (upstream_id != candidates.ranked_ids[0])
+        if self._is_overloaded(state, candidates.now):
+            cost += policy.overload_cost_seconds
         return cost
 
-    def _crowded(self, belief: Belief, now: float) -> bool:
+    def _is_overloaded(self, state: UpstreamState, now: float) -> bool:
         """Tell whether an upstream has few slots left."""
-        load = belief.current_load(now)
+        load = state.current_load(now)
         if load is None:
             return False
-        return load.running + belief.sent_since_load > self._policy.crowded_share * load.slots
+        return load.running + state.sent_since_load > self._policy.overload_slot_share * load.slots
 
-    def _harm(self, backlog_seconds: float, demand: Demand) -> float:
+    def _stream_delay_share(self, backlog_seconds: float, demand: Demand) -> float:
         """Return how likely a stream pauses too long at an engine that reads for so long."""
-        harmless = self._policy.harmless_share * demand.pause_seconds
-        harmful = self._policy.harmful_share * demand.pause_seconds
-        return min(1.0, max(0.0, (backlog_seconds - harmless) / (harmful - harmless)))
+        undelayed_seconds = self._policy.undelayed_pause_share * demand.max_pause_seconds
+        delayed_seconds = self._policy.delayed_pause_share * demand.max_pause_seconds
+        return min(
+            1.0,
+            max(0.0, (backlog_seconds - undelayed_seconds) / (delayed_seconds - undelayed_seconds)),
+        )
 
-    def _busyness(self, upstream: Upstream, now: float) -> tuple[int, bool, float]:
+    def _load_order(self, upstream: Upstream, now: float) -> tuple[int, bool, float]:
         """Return a key that orders upstreams of a plain service, least busy first."""
-        running = self._beliefs.of(upstream).running(now)
-        return running, upstream.zone != self._zone, self._random.random()
+        running = self._upstream_states.get(upstream).estimated_running(now)
+        return running, upstream.zone != self._zone, self._tie_breaker.random()
 
 
-def _fetch_from(search: _Search, chosen: str) -> Upstream | None:
+def _fetch_from(candidates: _Candidates, chosen: str) -> Upstream | None:
     """Return the engine that kept the shared parts last, unless the chosen one has them."""
-    if chosen in search.keepers:
+    if chosen in candidates.caching_by_id:
         return None
-    if search.keepers:
-        return search.by_id[max(search.keepers, key=lambda key: search.keepers[key])]
+    if candidates.caching_by_id:
+        return candidates.upstreams_by_id[
+            max(
+                candidates.caching_by_id,
+                key=lambda upstream_id: candidates.caching_by_id[upstream_id],
+            )
+        ]
     # Short prompts are not told to peers; what others sent lies where the order begins.
-    return search.by_id[search.order[0]] if chosen != search.order[0] else None
+    return (
+        candidates.upstreams_by_id[candidates.ranked_ids[0]]
+        if chosen != candidates.ranked_ids[0]
+        else None
+    )
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/beliefs.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/upstream_states.py
@@ -11,12 +11,12 @@
 
 from quinceferry_core.quarantine import RunStage
 from quinceferry_gateway.catalog import Load, Upstream
-from quinceferry_gateway.decisions.kept_parts import KeptParts
+from quinceferry_gateway.decisions.cached_prefixes import CachedPrefixes
 from quinceferry_gateway.decisions.pauses import RequestPause
+from quinceferry_gateway.decisions.prefill import PrefillQueue, PrefillTimes
 from quinceferry_gateway.decisions.rate_limits import RateLimit
-from quinceferry_gateway.decisions.reading import ReadingQueue, ReadingRates
 
-SUSPECT_SECONDS = 1.5
+FIRST_SUSPECT_SECONDS = 1.5
 """How long an upstream is avoided after a first failure; its entry lapses after some 3.6 s."""
 MAX_SUSPECT_SECONDS = 12.0
 """Longest time that it is avoided after failures in a row, each of which doubles the time: a dead
@@ -24,22 +24,22 @@
 MISDIRECTED_SECONDS = 10.0
 """How long an upstream is left out whose address answered for another one; outages of the store, in
 which its entry can't lapse, last about as long. It refused 8% of one kind's requests before."""
-LOAD_VALID_SECONDS = 2.0
+MAX_LOAD_AGE_SECONDS = 2.0
 """Age at which a load report says nothing any more."""
-SLOWNESS_MEMORY_SECONDS = 6.0
+SLOWDOWN_DECAY_SECONDS = 6.0
 """Time in which a belief that an upstream is slow fades; slow spells last for some seconds, and one
 that is avoided shows nothing new."""
-SLOWNESS_SHARE = 0.3
+SLOWDOWN_SAMPLE_WEIGHT = 0.3
 """How far one first event moves the belief; three late ones make it half of what they show."""
-MOST_SLOWNESS = 8.0
+MAX_SLOWDOWN = 8.0
 """Largest factor that one first event may show; beyond it lies silence, not slowness."""
 MAX_LEAVING_LIFETIMES = 1_024
 """Largest number of leaving lifetimes kept; the oldest is evicted first."""
-ALONE_SECONDS = 0.02
+MAX_IDLE_BACKLOG_SECONDS = 0.02
 """Backlog up to which a first event shows how long reading takes; a few short prompts."""
 
 
-class Belief:
+class UpstreamState:
     """What is known of one lifetime of an upstream. Times are those of the steady clock.
 
     ``notified_rate`` is the rate limit that this gateway last sent to its peers or received from
@@ -61,10 +61,10 @@
         "notified_rate",
         "pause",
         "rate_limit",
-        "reading",
+        "prefill_queue",
         "sent_since_load",
-        "slow_at",
-        "slow_factor",
+        "slowdown_at",
+        "slowdown_sample",
         "started_at",
         "suspect_until",
     )
@@ -85,28 +85,28 @@
         self.notified_rate: float | None = None
         self.notified_at = float("-inf")
         self.malformed_headers: tuple[str, ...] = ()
-        self.reading = ReadingQueue()
-        self.slow_factor = 1.0
-        self.slow_at = 0.0
+        self.prefill_queue = PrefillQueue()
+        self.slowdown_sample = 1.0
+        self.slowdown_at = 0.0
 
-    def slowness(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """Return how many times as long as expected first events take."""
-        fading = math.exp((self.slow_at - now) / SLOWNESS_MEMORY_SECONDS)
-        return 1.0 + (self.slow_factor - 1.0) * fading
+        fading = math.exp((self.slowdown_at - now) / SLOWDOWN_DECAY_SECONDS)
+        return 1.0 + (self.slowdown_sample - 1.0) * fading
 
-    def took(self, seconds: float, expected: float, now: float) -> None:
+    def record_first_event_time(self, seconds: float, expected: float, now: float) -> None:
         """Note how long a first event took, and how long it should have."""
-        shown = min(MOST_SLOWNESS, max(1.0, seconds / expected))
-        known = self.slowness(now)
-        self.slow_factor = known + SLOWNESS_SHARE * (shown - known)
-        self.slow_at = now
+        shown = min(MAX_SLOWDOWN, max(1.0, seconds / expected))
+        state = self.slowdown(now)
+        self.slowdown_sample = state + SLOWDOWN_SAMPLE_WEIGHT * (shown - state)
+        self.slowdown_at = now
 
     def current_load(self, now: float) -> Load | None:
         """Return the last report, unless it is too old."""
-        valid = self.load is not None and now - self.load_at < LOAD_VALID_SECONDS
+        valid = self.load is not None and now - self.load_at < MAX_LOAD_AGE_SECONDS
         return self.load if valid else None
 
-    def running(self, now: float) -> int:
+    def estimated_running(self, now: float) -> int:
         """Return how many requests the upstream works on, as far as known."""
         load = self.current_load(now)
         if load is None:
@@ -117,109 +117,119 @@
 class Attempt:
     """One request at an upstream, from its sending to its end.
 
-    ``unread_tokens`` are the prompt tokens that the upstream has to read, as far as known;
+    ``uncached_tokens`` are the prompt tokens that the upstream has to read, as far as known;
     ``stage`` is how far the request is known to have come there.
     """
 
     __slots__ = (
-        "_alone",
+        "_sent_to_idle_engine",
         "_belief",
-        "_expected",
-        "_number",
-        "_rates",
+        "_expected_seconds",
+        "_prefill_number",
+        "_prefill_times",
         "_sent_at",
         "stage",
-        "unread_tokens",
+        "uncached_tokens",
     )
 
-    def __init__(self, belief: Belief, rates: ReadingRates, tokens: int, now: float) -> None:
-        self._belief = belief
-        self._rates = rates
-        self.unread_tokens = tokens
+    def __init__(
+        self, state: UpstreamState, prefill_times: PrefillTimes, tokens: int, now: float
+    ) -> None:
+        self._belief = state
+        self._prefill_times = prefill_times
+        self.uncached_tokens = tokens
         self.stage = RunStage.SENT
         self._sent_at = now
-        backlog, reading = belief.reading.backlog_seconds(now), rates.seconds(tokens)
-        self._alone = backlog < ALONE_SECONDS
-        self._expected = rates.base_seconds + backlog + reading
-        self._number = belief.reading.add(now, reading) if tokens else 0
-        belief.pause.request_sent(now)
-        belief.in_flight += 1
-        belief.sent_since_load += 1
-
-    def accepted(self) -> None:
+        backlog, prefill = state.prefill_queue.backlog_seconds(now), prefill_times.estimate_seconds(
+            tokens
+        )
+        self._sent_to_idle_engine = backlog < MAX_IDLE_BACKLOG_SECONDS
+        self._expected_seconds = prefill_times.base_seconds + backlog + prefill
+        self._prefill_number = state.prefill_queue.add(now, prefill) if tokens else 0
+        state.pause.request_sent(now)
+        state.in_flight += 1
+        state.sent_since_load += 1
+
+    def record_accepted(self) -> None:
         """Note that the upstream works on the request."""
         self.stage = RunStage.BEGUN
 
-    def began(self, now: float) -> None:
+    def record_first_event(self, now: float) -> None:
         """Note the first event: the prompt was read."""
         self.stage = RunStage.PRODUCING
-        if not self._number:
+        if not self._prefill_number:
             return
         seconds = now - self._sent_at
-        if self._rates.base_seconds:
-            self._belief.took(seconds, self._expected, now)
-        if self._alone:
-            self._rates.observed(self.unread_tokens, seconds)
-        self._belief.reading.finished(self._number, now)
-        self._number = 0
-
-    def reported(self, load: Load, now: float) -> None:
+        if self._prefill_times.base_seconds:
+            self._belief.record_first_event_time(seconds, self._expected_seconds, now)
+        if self._sent_to_idle_engine:
+            self._prefill_times.record_sample(self.uncached_tokens, seconds)
+        self._belief.prefill_queue.record_finished(self._prefill_number, now)
+        self._prefill_number = 0
+
+    def record_load(self, load: Load, now: float) -> None:
         """Take the report of load that came with the answer."""
         self._belief.load = load
         self._belief.load_at = now
         self._belief.sent_since_load = 0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note a genuine answer: the upstream is sound."""
         self._belief.failures = 0
         self._belief.suspect_until = 0.0
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note that the connection failed, and avoid the upstream for a while."""
-        belief = self._belief
-        if now < belief.suspect_until:
+        state = self._belief
+        if now < state.suspect_until:
             # Requests under way together fail together; only the first of them counts.
             return
-        seconds = min(MAX_SUSPECT_SECONDS, SUSPECT_SECONDS * 2**belief.failures)
-        belief.failures += 1
-        belief.suspect_until = now + seconds
+        seconds = min(MAX_SUSPECT_SECONDS, FIRST_SUSPECT_SECONDS * 2**state.failures)
+        state.failures += 1
+        state.suspect_until = now + seconds
 
-    def misdirected(self, now: float) -> None:
+    def record_misdirected(self, now: float) -> None:
         """Note that another upstream answered at the address."""
         self._belief.misdirected_until = now + MISDIRECTED_SECONDS
 
-    def ended(self, now: float) -> None:
+    def finish(self, now: float) -> None:
         """Note that the attempt is over."""
         self._belief.in_flight -= 1
-        if self._number:
-            self._belief.reading.finished(self._number, now)
+        if self._prefill_number:
+            self._belief.prefill_queue.record_finished(self._prefill_number, now)
 
 
-class Beliefs:
+class UpstreamStates:
     """What is known of all upstreams, and of the engines of each service.
 
-    ``limited_ids`` holds the ids of upstreams that may have a rate limit in force.
+    ``rate_limited_ids`` holds the ids of upstreams that may have a rate limit in force.
     """
 
-    __slots__ = ("_by_id", "_leaving_lifetimes", "_rates_by_service", "kept", "limited_ids")
+    __slots__ = (
+        "_by_id",
+        "_leaving_lifetimes",
+        "_prefill_times_by_service",
+        "cached_prefixes",
+        "rate_limited_ids",
+    )
 
     def __init__(self) -> None:
-        self._by_id: dict[str, Belief] = {}
-        self._rates_by_service: defaultdict[str, ReadingRates] = defaultdict(ReadingRates)
-        self.kept = KeptParts()
-        self.limited_ids: set[str] = set()
+        self._by_id: dict[str, UpstreamState] = {}
+        self._prefill_times_by_service: defaultdict[str, PrefillTimes] = defaultdict(PrefillTimes)
+        self.cached_prefixes = CachedPrefixes()
+        self.rate_limited_ids: set[str] = set()
         self._leaving_lifetimes: dict[tuple[str, float], None] = {}
 
-    def of(self, upstream: Upstream) -> Belief:
+    def get(self, upstream: Upstream) -> UpstreamState:
         """Return what is known of an upstream; nothing when it has started anew."""
-        known = self._by_id.get(upstream.id)
-        if known is None or known.started_at != upstream.started_at:
-            known = self._by_id[upstream.id] = Belief(upstream.started_at)
-            self.limited_ids.discard(upstream.id)
-            self.kept.forget(upstream.id)
-        return known
-
-    def note_leaving(self, upstream_id: str, started_at: float) -> bool:
+        state = self._by_id.get(upstream.id)
+        if state is None or state.started_at != upstream.started_at:
+            state = self._by_id[upstream.id] = UpstreamState(upstream.started_at)
+            self.rate_limited_ids.discard(upstream.id)
+            self.cached_prefixes.remove_upstream(upstream.id)
+        return state
+
+    def record_leaving(self, upstream_id: str, started_at: float) -> bool:
         """Record that an upstream is leaving, and return whether this is new.
 
         The record is kept by lifetime, so that a list that lacks the upstream or names it as ready
@@ -237,31 +247,37 @@
         """Return whether the current lifetime of an upstream is leaving."""
         return (upstream.id, upstream.started_at) in self._leaving_lifetimes
 
-    def rates(self, service: str) -> ReadingRates:
+    def prefill_times(self, service: str) -> PrefillTimes:
         """Return how long the engines of a service read."""
-        return self._rates_by_service[service]
+        return self._prefill_times_by_service[service]
 
-    def attempt(self, upstream: Upstream, unread_tokens: int, key: str, now: float) -> Attempt:
+    def start_attempt(
+        self, upstream: Upstream, uncached_tokens: int, key: str, now: float
+    ) -> Attempt:
         """Note that a request goes to an upstream.
 
         :param unread_tokens: prompt tokens that it has to read.
         :param key: name of the shared parts of the prompt, empty without any.
         """
-        attempt = Attempt(self.of(upstream), self.rates(upstream.service), unread_tokens, now)
+        attempt = Attempt(
+            self.get(upstream), self.prefill_times(upstream.service), uncached_tokens, now
+        )
         if key:
-            self.kept.sent(key, upstream.id, now)
+            self.cached_prefixes.record_send(key, upstream.id, now)
         return attempt
 
-    def told(self, upstream: Upstream, unread_tokens: int, key: str, now: float) -> None:
+    def record_peer_prompt(
+        self, upstream: Upstream, uncached_tokens: int, key: str, now: float
+    ) -> None:
         """Take from a peer that it sends a prompt to an upstream."""
-        seconds = self.rates(upstream.service).seconds(unread_tokens)
-        self.of(upstream).reading.add(now, seconds)
-        self.kept.sent(key, upstream.id, now)
+        seconds = self.prefill_times(upstream.service).estimate_seconds(uncached_tokens)
+        self.get(upstream).prefill_queue.add(now, seconds)
+        self.cached_prefixes.record_send(key, upstream.id, now)
 
-    def forget(self, present: Collection[str]) -> None:
+    def discard_missing(self, present_ids: Collection[str]) -> None:
         """Drop what is known of upstreams that are gone."""
-        for key in [key for key in self._by_id if key not in present]:
+        for key in [key for key in self._by_id if key not in present_ids]:
             if self._by_id[key].in_flight <= 0:
                 del self._by_id[key]
-                self.limited_ids.discard(key)
-                self.kept.forget(key)
+                self.rate_limited_ids.discard(key)
+                self.cached_prefixes.remove_upstream(key)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/exchanges.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/exchanges.py
@@ -54,7 +54,7 @@
         call = progress.call
         if call.prompt_tokens:
             self._metrics.prompt_sent(
-                progress.route.name, call.prompt_tokens, attempt.unread_tokens
+                progress.route.name, call.prompt_tokens, attempt.uncached_tokens
             )
         self._signals.request_sent(upstream)
         async with self._http.open(
@@ -63,20 +63,20 @@
             head = self._dialect.decode_answer(reply.status, reply.headers)
             self._signals.answer_received(upstream, head)
             if head.misdirected:
-                attempt.misdirected(self._clock.monotonic())
+                attempt.record_misdirected(self._clock.monotonic())
             elif head.load is not None:
-                attempt.reported(head.load, self._clock.monotonic())
+                attempt.record_load(head.load, self._clock.monotonic())
             if head.not_run:
                 return NotRun(f"status {head.status}", True, head.misdirected)
             if head.request_id and head.request_id != call.request_id:
                 raise ForeignAnswerError("answer to another request", peer=upstream.address)
             if head.status < FIRST_ERROR and not head.genuine:
                 raise ConnectionBrokenError("answer without its mark", peer=upstream.address)
-            attempt.accepted()
+            attempt.record_accepted()
             if progress.route.kind is RouteKind.STREAM and head.status == OK:
                 return await self._pass_events(progress, head, reply, attempt)
             body = await _whole_body(reply, upstream.address)
-            attempt.succeeded()
+            attempt.record_success()
             return Whole(head, body)
 
     async def _pass_events(
@@ -97,14 +97,14 @@
             events = stream.buffer.feed(chunk)
             if events:
                 now = self._clock.monotonic()
-                attempt.began(now)
+                attempt.record_first_event(now)
                 stream.pace.event(now)
                 await self._send_events(stream, head, events)
         if stream.buffer.pending:
             raise ConnectionBrokenError("stream ended within an event", step="events")
         if not stream.begun:
             await self._send_events(stream, head, b"")
-        attempt.succeeded()
+        attempt.record_success()
         self._metrics.streamed(progress.workspace_name, progress.route, stream.pace)
         return Streamed(stream.buffer.count)
 
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fingerprints.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fingerprints.py
@@ -8,7 +8,7 @@
 """Size of a fingerprint: no two of the contents that a fleet sees in a year collide by chance."""
 
 
-def fingerprint_of(call: Call, workspace: str) -> str:
+def request_fingerprint(call: Call, workspace: str) -> str:
     """Return what all requests with the same content have in common.
 
     The same content is the same caller, method, host, path with its query, and body. Headers are
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/calls.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/calls.py
@@ -16,11 +16,11 @@
 from quinceferry_gateway.fleet.datagrams import DatagramPort
 from quinceferry_gateway.logs import log
 
-RESEND_SECONDS = 0.07
+FIRST_RESEND_SECONDS = 0.07
 """Pause until a call is sent again the first time, and doubled each time: many round trips within a
 region, and three sends within the time that a request waits for one holder."""
 
-Serve = Callable[[bytes], Awaitable[bytes]]
+CallHandler = Callable[[bytes], Awaitable[bytes]]
 """Carries a call out and returns the answer, both encoded."""
 
 
@@ -56,14 +56,14 @@
         self._clock = clock
         self._numbers = itertools.count(first_number)
         self._replies_by_number: dict[int, asyncio.Future[bytes]] = {}
-        self._servers_by_kind: dict[str, Serve] = {}
+        self._handlers_by_kind: dict[str, CallHandler] = {}
         self._in_progress: set[tuple[object, int]] = set()
-        port.handle(Call, self._take_call)
-        port.handle(Reply, self._take_reply)
+        port.add_handler(Call, self._handle_call)
+        port.add_handler(Reply, self._handle_reply)
 
-    def serve(self, kind: str, server: Serve) -> None:
+    def register_handler(self, kind: str, handler: CallHandler) -> None:
         """Serve the calls of a kind from now on."""
-        self._servers_by_kind[kind] = server
+        self._handlers_by_kind[kind] = handler
 
     async def call(self, address: str, kind: str, body: bytes, timeout_seconds: float) -> bytes:
         """Make a call and return the answer.
@@ -74,11 +74,11 @@
         reply = self._replies_by_number[number] = asyncio.get_running_loop().create_future()
         call = Call(number, kind, msgspec.Raw(body))
         ends_at = self._clock.monotonic() + timeout_seconds
-        pause = RESEND_SECONDS
+        pause = FIRST_RESEND_SECONDS
         try:
-            while (left := ends_at - self._clock.monotonic()) > 0:
+            while (remaining_seconds := ends_at - self._clock.monotonic()) > 0:
                 self._port.send(call, [address])
-                done, _ = await asyncio.wait((reply,), timeout=min(pause, left))
+                done, _ = await asyncio.wait((reply,), timeout=min(pause, remaining_seconds))
                 if done:
                     return reply.result()
                 pause *= 2
@@ -86,21 +86,21 @@
             del self._replies_by_number[number]
         raise CallTimeoutError(f"no answer within {timeout_seconds} s")
 
-    def _take_call(self, call: Call, sender: object) -> None:
+    def _handle_call(self, call: Call, sender: object) -> None:
         """Carry a call out, unless the same one is in progress."""
-        server = self._servers_by_kind.get(call.kind)
-        if server is None or not isinstance(sender, tuple):
+        handler = self._handlers_by_kind.get(call.kind)
+        if handler is None or not isinstance(sender, tuple):
             log.failure("call.unknown", peer=str(sender), kind=call.kind)
             return
         key = (sender, call.number)
         if key not in self._in_progress:
             self._in_progress.add(key)
-            self.spawn(self._carry_out(server, call, sender), f"call {call.kind}")
+            self.spawn(self._run_handler(handler, call, sender), f"call {call.kind}")
 
-    async def _carry_out(self, server: Serve, call: Call, sender: tuple[str, int]) -> None:
+    async def _run_handler(self, handler: CallHandler, call: Call, sender: tuple[str, int]) -> None:
         """Carry a call out and send the answer."""
         try:
-            body = await server(bytes(call.body))
+            body = await handler(bytes(call.body))
         except msgspec.DecodeError as error:
             log.failure("call.malformed", peer=str(sender), kind=call.kind, error=str(error))
         else:
@@ -109,8 +109,8 @@
         finally:
             self._in_progress.discard((sender, call.number))
 
-    def _take_reply(self, reply: Reply, sender: object) -> None:
+    def _handle_reply(self, reply: Reply, sender: object) -> None:
         """Hand an answer to the call that waits for it; one that comes late is dropped."""
-        waiting = self._replies_by_number.get(reply.number)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(bytes(reply.body))
+        future = self._replies_by_number.get(reply.number)
+        if future is not None and not future.done():
+            future.set_result(bytes(reply.body))
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/datagrams.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/datagrams.py
@@ -35,9 +35,9 @@
         self._handlers_by_type: dict[type, Handler] = {}
         self._decoder: msgspec.msgpack.Decoder | None = None
 
-    def handle(self, kind: type[msgspec.Struct], handler: Handler) -> None:
+    def add_handler(self, message_type: type[msgspec.Struct], handler: Handler) -> None:
         """Hand messages of a type to a handler from now on."""
-        self._handlers_by_type[kind] = handler
+        self._handlers_by_type[message_type] = handler
         union = functools.reduce(operator.or_, self._handlers_by_type)
         self._decoder = msgspec.msgpack.Decoder(union)
 
@@ -62,12 +62,12 @@
         if self._transport is None or not addresses:
             return
         datagram = msgspec.msgpack.encode(message)
-        kind = type(message).__struct_config__.tag
-        self._metrics.peer_messages(kind, "sent", len(addresses), len(datagram))
+        tag = type(message).__struct_config__.tag
+        self._metrics.peer_messages(tag, "sent", len(addresses), len(datagram))
         for address in addresses:
             self._transport.sendto(datagram, host_and_port(address))
 
-    def take(self, datagram: bytes, sender: object) -> None:
+    def receive(self, datagram: bytes, sender: object) -> None:
         """Hand a datagram on; one that can't be read changes nothing."""
         if self._decoder is None:
             return
@@ -77,8 +77,8 @@
             log.failure("datagram.malformed", peer=str(sender), error=str(error))
             self._metrics.peer_messages("unknown", "malformed", 1, len(datagram))
             return
-        kind = type(message).__struct_config__.tag
-        self._metrics.peer_messages(kind, "received", 1, len(datagram))
+        tag = type(message).__struct_config__.tag
+        self._metrics.peer_messages(tag, "received", 1, len(datagram))
         self._handlers_by_type[type(message)](message, sender)
 
 
@@ -90,7 +90,7 @@
 
     def datagram_received(self, data: bytes, addr: object) -> None:
         """Take one datagram."""
-        self._port.take(data, addr)
+        self._port.receive(data, addr)
 
     def error_received(self, exc: OSError) -> None:
         """Note that some datagram was not delivered; silence shows who is gone."""
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/gossip.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/gossip.py
@@ -6,29 +6,34 @@
 from quinceferry_core.clocks import Clock
 from quinceferry_gateway.blackboard import Blackboard, Member, Phase
 from quinceferry_gateway.controllers import Controller
-from quinceferry_gateway.crashes import CrashWatch
-from quinceferry_gateway.fleet.copies import Copies
+from quinceferry_gateway.crashes import CrashMonitor
+from quinceferry_gateway.fleet.copies import CopyReplicator
 from quinceferry_gateway.fleet.datagrams import DatagramPort
-from quinceferry_gateway.fleet.digests import FORMAT, Digest, Name, name_of
-from quinceferry_gateway.fleet.duties import is_reader
-from quinceferry_gateway.fleet.liveness import FANOUT, PERIOD_SECONDS, SUSPICION_SHARE, Liveness
+from quinceferry_gateway.fleet.digests import (
+    DIGEST_FORMAT,
+    Digest,
+    IncarnationChecksum,
+    incarnation_checksum,
+)
+from quinceferry_gateway.fleet.liveness import FANOUT, PERIOD_SECONDS, SUSPECT_SHARE, Liveness
+from quinceferry_gateway.fleet.read_schedule import is_designated_reader
 from quinceferry_gateway.logs import log
 from quinceferry_gateway.membership import MemberReader
 
 PERIOD_SPREAD = 0.2
 """Share by which periods are spread, so that the fleet's messages don't come in step."""
-RENEWED_SECONDS = 0.55
+MIN_FRESHNESS_GAIN_SECONDS = 0.55
 """How much more recent the copies must have become since the last digest to send the next one
 before its time: freshness then crosses the fleet in a few hops instead of a few periods, at the
 same number of messages."""
-RENEWED_PAUSE_SECONDS = 0.4
+FRESHNESS_PAUSE_SECONDS = 0.4
 """Shortest time after a digest in which recent copies bring about the next one."""
 LEAVING_FANOUT = 12
 """Peers that are told at once when this gateway is about to stop; they hand it on."""
 UNREACHABLE_SHARE = 0.1
 """Share of digests that go to a member which counts as unreachable, so that both sides of a cut
 find each other again."""
-MAX_ASKED = 2
+MAX_PROBED_SUSPECTS = 2
 """Suspect members that are asked directly in each period."""
 REPLY_PAUSE_SECONDS = 0.5
 """Shortest time between two digests in reply to the same peer."""
@@ -37,9 +42,9 @@
 period later only."""
 CONTENT_PAUSE_SECONDS = 0.05
 """Shortest time between two digests for new content; one that is put off goes with the period."""
-MAX_TOLD_CONTENTS = 16
+MAX_QUARANTINE_ENTRIES = 16
 """Contents in quarantine that one digest names, some 600 bytes."""
-SUSPENSION_SECONDS = 0.3
+MIN_SUSPENSION_SECONDS = 0.3
 """How long the process may have been suspended before nothing it has heard counts as recent."""
 
 
@@ -56,48 +61,50 @@
         members: MemberReader,
         port: DatagramPort,
         clock: Clock,
-        source: random.Random,
-        suspended: Callable[[], float],
+        random_source: random.Random,
+        total_suspended_seconds: Callable[[], float],
     ) -> None:
         super().__init__()
         self._blackboard = blackboard
         self._members = members
         self._port = port
         self._clock = clock
-        self._random = source
-        self._suspended = suspended
-        self._suspended_before = 0.0
+        self._random = random_source
+        self._total_suspended_seconds = total_suspended_seconds
+        self._last_suspended_seconds = 0.0
         self.liveness = Liveness()
-        self._copies: Copies | None = None
-        self._crashes: CrashWatch | None = None
-        self._order: list[str] = []
+        self._copies: CopyReplicator | None = None
+        self._crashes: CrashMonitor | None = None
+        self._remaining_peers: list[str] = []
         self._suspects: set[str] = set()
         self._next_at = 0.0
         self._sent_at = float("-inf")
-        self._sent_asked_at = float("-inf")
+        self._sent_copies_asked_at = float("-inf")
         self._replied_at_by_vm: dict[str, float] = {}
-        port.handle(Digest, self.take)
+        port.add_handler(Digest, self.handle_digest)
 
-    def use(self, copies: Copies, crashes: CrashWatch) -> None:
+    def attach(self, copies: CopyReplicator, crashes: CrashMonitor) -> None:
         """Hand on these copies with each digest, and which content is in quarantine."""
         self._copies = copies
         self._crashes = crashes
-        crashes.renewed = self._send_news
+        crashes.on_quarantine_changed = self._send_quarantine
 
     async def start(self) -> None:
         """Begin to send."""
-        self._suspended_before = self._suspended()
+        self._last_suspended_seconds = self._total_suspended_seconds()
         self.spawn(self._send_forever(), "digests")
 
-    def renewed(self, content: bool) -> None:
+    def copies_updated(self, content_changed: bool) -> None:
         """Send a digest soon if the copies have changed or become much more recent.
 
         :param content: whether a copy has other content than before.
         """
         since_sent = self._clock.monotonic() - self._sent_at
-        more_recent = self._asked_at() - self._sent_asked_at > RENEWED_SECONDS
-        changed_now = content and since_sent > CONTENT_PAUSE_SECONDS
-        recent_now = more_recent and since_sent > RENEWED_PAUSE_SECONDS
+        more_recent = (
+            self._oldest_asked_at() - self._sent_copies_asked_at > MIN_FRESHNESS_GAIN_SECONDS
+        )
+        changed_now = content_changed and since_sent > CONTENT_PAUSE_SECONDS
+        recent_now = more_recent and since_sent > FRESHNESS_PAUSE_SECONDS
         if changed_now:
             self._send(CONTENT_FANOUT)
         elif recent_now:
@@ -107,103 +114,121 @@
         """Tell many peers at once that this gateway is about to stop."""
         self._send(LEAVING_FANOUT)
 
-    def take(self, digest: Digest, sender: object) -> None:
+    def handle_digest(self, digest: Digest, sender: object) -> None:
         """Take a peer's digest."""
-        self._notice_suspension()
+        self._handle_suspension()
         board = self._blackboard
         now = self._clock.monotonic()
         peer = digest.sender
-        if digest.format != FORMAT or peer.incarnation == board.own.incarnation:
+        if digest.format != DIGEST_FORMAT or peer.incarnation == board.own.incarnation:
             log.failure("digest.refused", peer=str(sender), format=digest.format)
             return
-        leaves = name_of(peer.incarnation) in digest.leaving
-        if not self._knows(peer) and (leaves or not self._meet(peer, now)):
+        is_leaving = incarnation_checksum(peer.incarnation) in digest.leaving
+        if not self._is_member(peer) and (is_leaving or not self._add_member(peer, now)):
             return
-        self.liveness.heard(name_of(peer.incarnation), now)
-        self.liveness.merge(digest.ages_by_name, now)
-        self._note_leaving(digest.leaving)
+        self.liveness.record_seen(incarnation_checksum(peer.incarnation), now)
+        self.liveness.merge(digest.ages_by_checksum, now)
+        self._mark_leaving(digest.leaving)
         if self._crashes and digest.quarantined_seconds_by_content:
-            self._crashes.hold(digest.quarantined_seconds_by_content, peer.vm)
-        behind = self._copies and self._copies.compare(peer, digest.summaries_by_kind, now)
-        if behind or digest.asks:
+            self._crashes.add_quarantined(digest.quarantined_seconds_by_content, peer.vm)
+        is_outdated = self._copies and self._copies.compare(peer, digest.summaries_by_kind, now)
+        if is_outdated or digest.reply_requested:
             self._reply(peer, now)
 
-    def refresh(self) -> None:
+    def update_reachability(self) -> None:
         """Work out who is unreachable, and which duties this gateway has."""
-        self._notice_suspension()
+        self._handle_suspension()
         board = self._blackboard
         now = self._clock.monotonic()
-        keys_by_name = {name_of(peer.incarnation): peer.incarnation for peer in board.peers()}
-        self.liveness.know(keys_by_name.keys(), now)
+        incarnations_by_checksum = {
+            incarnation_checksum(peer.incarnation): peer.incarnation for peer in board.peers()
+        }
+        self.liveness.track(incarnations_by_checksum.keys(), now)
         members = len(board.members_by_incarnation)
-        suspects = self.liveness.silent(keys_by_name, members, now, SUSPICION_SHARE)
-        silent = self.liveness.silent(suspects, members, now)
-        unreachable = {keys_by_name[name] for name in silent}
-        self._suspects = {keys_by_name[name] for name in suspects - silent}
-        for key in unreachable - board.unreachable:
-            log.change("member.unreachable", member=key)
-        for key in board.unreachable - unreachable:
-            log.change("member.answers", member=key)
+        suspects = self.liveness.unseen(incarnations_by_checksum, members, now, SUSPECT_SHARE)
+        unseen = self.liveness.unseen(suspects, members, now)
+        unreachable = {incarnations_by_checksum[checksum] for checksum in unseen}
+        self._suspects = {incarnations_by_checksum[checksum] for checksum in suspects - unseen}
+        for incarnation in unreachable - board.unreachable:
+            log.change("member.unreachable", member=incarnation)
+        for incarnation in board.unreachable - unreachable:
+            log.change("member.answers", member=incarnation)
         board.unreachable = unreachable
         if board.members_read_at is None:
             # Gateways that start together don't know each other yet, and would all be readers: 195
             # of them began 341 watches in their first eight simulated seconds.
             return
         self._members.drop_silent()
-        board.reader = is_reader(board.own.vm, [member.vm for member in board.usable_members()])
+        board.reader = is_designated_reader(
+            board.own.vm, [member.vm for member in board.usable_members()]
+        )
 
     async def _send_forever(self) -> None:
         """Send a digest in each period."""
         while True:
-            self.refresh()
+            self.update_reachability()
             if self._clock.monotonic() >= self._next_at:
                 self._send(FANOUT)
-                self._ask_suspects()
+                self._probe_suspects()
             await self._clock.sleep(max(0.0, self._next_at - self._clock.monotonic()))
 
     def _send(self, fanout: int) -> None:
         """Send a digest to some peers."""
-        self._notice_suspension()
+        self._handle_suspension()
         now = self._clock.monotonic()
         spread = 1 + PERIOD_SPREAD * (self._random.random() - 0.5)
         self._next_at = now + PERIOD_SECONDS * spread
-        self._sent_at, self._sent_asked_at = now, self._asked_at()
+        self._sent_at, self._sent_copies_asked_at = now, self._oldest_asked_at()
         chosen = self._choose(fanout)
-        self._port.send(self._digest(now), [member.peer_address for member in chosen])
+        self._port.send(self._build_digest(now), [member.peer_address for member in chosen])
 
-    def _ask_suspects(self) -> None:
+    def _probe_suspects(self) -> None:
         """Ask some members directly that were not heard from for a while."""
-        asked = self._random.sample(sorted(self._suspects), min(MAX_ASKED, len(self._suspects)))
+        probed = self._random.sample(
+            sorted(self._suspects), min(MAX_PROBED_SUSPECTS, len(self._suspects))
+        )
         members = self._blackboard.members_by_incarnation
-        addresses = [members[key].peer_address for key in asked if key in members]
+        addresses = [
+            members[incarnation].peer_address for incarnation in probed if incarnation in members
+        ]
         if addresses:
-            self._port.send(self._digest(self._clock.monotonic(), asks=True), addresses)
+            self._port.send(
+                self._build_digest(self._clock.monotonic(), reply_requested=True), addresses
+            )
 
     def _reply(self, peer: Member, now: float) -> None:
         """Send a digest to a peer whose copies are out of date."""
         if now - self._replied_at_by_vm.get(peer.vm, float("-inf")) < REPLY_PAUSE_SECONDS:
             return
         self._replied_at_by_vm[peer.vm] = now
-        self._port.send(self._digest(now), [peer.peer_address])
+        self._port.send(self._build_digest(now), [peer.peer_address])
 
-    def _digest(self, now: float, asks: bool = False) -> Digest:
+    def _build_digest(self, now: float, reply_requested: bool = False) -> Digest:
         """Return what this gateway knows."""
         board = self._blackboard
-        leaving = [name_of(key) for key in board.leaving]
+        leaving = [incarnation_checksum(incarnation) for incarnation in board.leaving]
         if board.phase is Phase.DRAINING:
-            leaving.append(name_of(board.own.incarnation))
+            leaving.append(incarnation_checksum(board.own.incarnation))
         summaries = self._copies.summaries(now) if self._copies else {}
-        held = self._quarantined()
-        return Digest(FORMAT, board.own, self.liveness.ages(now), leaving, summaries, asks, held)
+        held = self._quarantine_entries()
+        return Digest(
+            DIGEST_FORMAT,
+            board.own,
+            self.liveness.ages(now),
+            leaving,
+            summaries,
+            reply_requested,
+            held,
+        )
 
-    def _quarantined(self) -> dict[str, int]:
+    def _quarantine_entries(self) -> dict[str, int]:
         """Return contents in quarantine, some of them if there are many."""
-        held = self._crashes.held() if self._crashes else {}
-        if len(held) <= MAX_TOLD_CONTENTS:
+        held = self._crashes.quarantined_seconds() if self._crashes else {}
+        if len(held) <= MAX_QUARANTINE_ENTRIES:
             return held
-        return dict(self._random.sample(sorted(held.items()), MAX_TOLD_CONTENTS))
+        return dict(self._random.sample(sorted(held.items()), MAX_QUARANTINE_ENTRIES))
 
-    def _send_news(self) -> None:
+    def _send_quarantine(self) -> None:
         """Hand on at once what the fleet must know; each gateway does so when it is news to it."""
         self._send(FANOUT)
 
@@ -217,22 +242,22 @@
         }
         chosen: list[Member] = []
         while len(chosen) < min(fanout, len(usable_by_key)):
-            if not self._order:
-                self._order = self._random.sample(list(usable_by_key), len(usable_by_key))
-            peer = usable_by_key.get(self._order.pop())
+            if not self._remaining_peers:
+                self._remaining_peers = self._random.sample(list(usable_by_key), len(usable_by_key))
+            peer = usable_by_key.get(self._remaining_peers.pop())
             if peer is not None and peer not in chosen:
                 chosen.append(peer)
         if board.unreachable and self._random.random() < UNREACHABLE_SHARE * fanout:
-            key = self._random.choice(sorted(board.unreachable))
-            if key in board.members_by_incarnation:
-                chosen.append(board.members_by_incarnation[key])
+            incarnation = self._random.choice(sorted(board.unreachable))
+            if incarnation in board.members_by_incarnation:
+                chosen.append(board.members_by_incarnation[incarnation])
         return chosen
 
-    def _knows(self, peer: Member) -> bool:
+    def _is_member(self, peer: Member) -> bool:
         """Tell whether the sender of a digest is a member."""
         return peer.incarnation in self._blackboard.members_by_incarnation
 
-    def _meet(self, peer: Member, now: float) -> bool:
+    def _add_member(self, peer: Member, now: float) -> bool:
         """Make the sender of a digest a member; tell whether it became one.
 
         One whose vm has another incarnation that spoke a moment ago is gone: its message was late.
@@ -241,35 +266,40 @@
         for member in board.members_by_incarnation.values():
             if member.vm == peer.vm and (
                 member is board.own
-                or self.liveness.heard_within(name_of(member.incarnation), PERIOD_SECONDS, now)
+                or self.liveness.seen_within(
+                    incarnation_checksum(member.incarnation), PERIOD_SECONDS, now
+                )
             ):
                 return False
         self._members.meet(peer)
-        self.liveness.know([name_of(item.incarnation) for item in board.peers()], now)
+        self.liveness.track([incarnation_checksum(item.incarnation) for item in board.peers()], now)
         return True
 
-    def _note_leaving(self, names: list[Name]) -> None:
+    def _mark_leaving(self, checksums: list[IncarnationChecksum]) -> None:
         """Note members that are about to stop."""
-        if not names:
+        if not checksums:
             return
         board = self._blackboard
-        told = set(names)
+        leaving_checksums = set(checksums)
         for peer in board.peers():
-            if name_of(peer.incarnation) in told and peer.incarnation not in board.leaving:
+            if (
+                incarnation_checksum(peer.incarnation) in leaving_checksums
+                and peer.incarnation not in board.leaving
+            ):
                 board.leaving.add(peer.incarnation)
                 log.change("member.leaving", member=peer.incarnation)
 
-    def _notice_suspension(self) -> None:
+    def _handle_suspension(self) -> None:
         """Trust nothing that was heard or read before the machine was suspended."""
-        total = self._suspended()
-        seconds, self._suspended_before = total - self._suspended_before, total
-        if seconds < SUSPENSION_SECONDS:
+        total = self._total_suspended_seconds()
+        seconds, self._last_suspended_seconds = total - self._last_suspended_seconds, total
+        if seconds < MIN_SUSPENSION_SECONDS:
             return
         log.change("gateway.suspended", seconds=round(seconds, 3))
-        self.liveness.distrust(self._clock.monotonic())
+        self.liveness.reset(self._clock.monotonic())
         self._blackboard.age_copies(seconds)
 
-    def _asked_at(self) -> float:
+    def _oldest_asked_at(self) -> float:
         """Return when the older one of the copies that must be recent was read."""
         board = self._blackboard
         read_at = (board.upstreams_read_at, board.configuration_read_at)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/packing.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/packing.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 """Fastest level; the highest makes a configuration a fifth smaller, in eight times the time."""
 MAX_UNPACKED_BYTES = 16_777_216
 """Largest list that is taken from a peer, many times what the store accepts as a value."""
@@ -16,7 +16,7 @@
 
 def pack(content: bytes) -> bytes:
     """Return content for a peer."""
-    return zlib.compress(content, LEVEL)
+    return zlib.compress(content, COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet_api.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet_api.py
@@ -8,7 +8,7 @@
 from quinceferry_gateway.asgi import Receive, Scope, Send
 from quinceferry_gateway.blackboard import Blackboard
 from quinceferry_gateway.fleet.calls import DatagramCalls
-from quinceferry_gateway.fleet.copies import Copies
+from quinceferry_gateway.fleet.copies import CopyReplicator
 from quinceferry_gateway.holder import TokenHolder
 from quinceferry_gateway.metrics import Metrics
 from quinceferry_gateway.peers import (
@@ -29,7 +29,7 @@
 class PeerApi:
     """ASGI application for calls of other gateways and of scrapers."""
 
-    def __init__(self, copies: Copies, holder: TokenHolder, metrics: Metrics) -> None:
+    def __init__(self, copies: CopyReplicator, holder: TokenHolder, metrics: Metrics) -> None:
         self._copies = copies
         self._holder = holder
         self._metrics = metrics
@@ -70,8 +70,8 @@
             holder.settle(settlement)
         return msgspec.msgpack.encode(Acknowledged())
 
-    calls.serve(RESERVE, reserve)
-    calls.serve(SETTLE, settle)
+    calls.register_handler(RESERVE, reserve)
+    calls.register_handler(SETTLE, settle)
 
 
 def addresses(board: Blackboard, max_addresses: int, zone: str, source: random.Random) -> list[str]:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/freshness.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/freshness.py
@@ -2,7 +2,7 @@
 
 from quinceferry_core.clocks import Clock
 from quinceferry_gateway.blackboard import Blackboard
-from quinceferry_gateway.fleet.copies import Copies
+from quinceferry_gateway.fleet.copies import CopyReplicator
 
 CONFIGURATION = "configuration"
 """Kind under which the configuration is handed from gateway to gateway."""
@@ -21,7 +21,7 @@
     __slots__ = ("_blackboard", "_bound_seconds", "_clock", "_copies")
 
     def __init__(
-        self, blackboard: Blackboard, copies: Copies, clock: Clock, bound_seconds: float
+        self, blackboard: Blackboard, copies: CopyReplicator, clock: Clock, bound_seconds: float
     ) -> None:
         self._blackboard = blackboard
         self._copies = copies
@@ -51,4 +51,4 @@
 
     def _missed_seconds(self) -> float | None:
         """Return for how long a newer configuration has been known of, None if it is not."""
-        return self._copies.missed_seconds(CONFIGURATION, self._clock.monotonic())
+        return self._copies.outdated_seconds(CONFIGURATION, self._clock.monotonic())
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/holding.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/holding.py
@@ -10,7 +10,7 @@
 
 from quinceferry_core.clocks import Clock
 from quinceferry_gateway.blackboard import Blackboard
-from quinceferry_gateway.rendezvous import ranked
+from quinceferry_gateway.rendezvous import rank_candidates
 from quinceferry_gateway.settings import BudgetSettings
 
 HOLDERS_KEY = "holders"
@@ -34,7 +34,7 @@
     They are ranked by vm, so that a gateway that starts anew on its vm takes the same part again.
     """
     vms = [member.vm for member in board.usable_members()]
-    order = ranked(HOLDERS_KEY, vms)
+    order = rank_candidates(HOLDERS_KEY, vms)
     return order if len(order) <= settings.max_holders else order[: settings.few_holders]
 
 
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/membership.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/membership.py
@@ -12,9 +12,9 @@
 from quinceferry_core.exceptions import KvConflictError, KvError, LeaseLostError
 from quinceferry_gateway.blackboard import Blackboard, Member, Phase
 from quinceferry_gateway.controllers import Controller
-from quinceferry_gateway.fleet.digests import Summary, summary_of
-from quinceferry_gateway.fleet.duties import UNTRIED_SECONDS, ReadSchedule
+from quinceferry_gateway.fleet.digests import CopySummary, summarize_copy
 from quinceferry_gateway.fleet.packing import pack, unpack
+from quinceferry_gateway.fleet.read_schedule import SKIPPED_READ_SECONDS, ReadSchedule
 from quinceferry_gateway.interfaces import SnapshotSource
 from quinceferry_gateway.logs import log
 from quinceferry_gateway.store_health import note_answer, note_failure
@@ -163,10 +163,10 @@
         if self._blackboard.unreachable - registered:
             self.offer(self._registered)
 
-    def summary(self, now: float) -> Summary | None:
+    def summary(self, now: float) -> CopySummary | None:
         """Return which copy this gateway has, None without one."""
         read_at = self._blackboard.members_read_at
-        return summary_of(self._revision, self._content, read_at, now)
+        return summarize_copy(self._revision, self._content, read_at, now)
 
     def confirm(self, revision: int, asked_at: float) -> None:
         """Note that the store held the same list at that time and revision."""
@@ -224,19 +224,19 @@
             if now < due_at:
                 await self._clock.sleep(due_at - now)
             elif board.leaves_unread(board.members_read_at):
-                await self._clock.sleep(UNTRIED_SECONDS)
+                await self._clock.sleep(SKIPPED_READ_SECONDS)
             else:
                 await self._read(now)
 
     async def _read(self, asked_at: float) -> None:
         """Read the list."""
-        self._schedule.began(asked_at)
+        self._schedule.read_started(asked_at)
         try:
             found = await self._source.snapshot(MEMBER_PREFIX)
         except KvError as error:
             board, now = self._blackboard, self._clock.monotonic()
             note_failure(board, error)
-            self._schedule.failed(board.reader, board.members_read_at, now)
+            self._schedule.read_failed(board.reader, board.members_read_at, now)
             return
         note_answer(self._blackboard)
         if found.revision >= self._revision:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/metrics.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/metrics.py
@@ -112,7 +112,7 @@
         self._longest_pause.record(pace.longest_pause_seconds, labels)
         if route.objective_seconds and pace.first_event_seconds > route.objective_seconds:
             self._late_streams.add(1, {**labels, "cause": "first_event"})
-        if route.pause_seconds and pace.longest_pause_seconds > route.pause_seconds:
+        if route.max_pause_seconds and pace.longest_pause_seconds > route.max_pause_seconds:
             self._late_streams.add(1, {**labels, "cause": "pause"})
 
     def upstream_crashed(self, service: str) -> None:
@@ -134,11 +134,11 @@
         """Count an answer in which an upstream asks for a pause in requests."""
         self._upstream_pauses.add(1, {"service": self._label(service)})
 
-    def prompt_sent(self, route: str, tokens: int, unread_tokens: int) -> None:
+    def prompt_sent(self, route: str, tokens: int, uncached_tokens: int) -> None:
         """Count the tokens of a prompt that goes to an upstream."""
         label = self._label(route)
         self._prompt_tokens.add(tokens, {"route": label, "what": "sent"})
-        self._prompt_tokens.add(unread_tokens, {"route": label, "what": "unread"})
+        self._prompt_tokens.add(uncached_tokens, {"route": label, "what": "unread"})
 
     def store_called(self, step: str, result: str) -> None:
         """Count a call to the store."""
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/permits.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/permits.py
@@ -8,14 +8,14 @@
 from quinceferry_core.clocks import Clock
 from quinceferry_gateway.blackboard import Blackboard, Member
 from quinceferry_gateway.catalog import Upstream
-from quinceferry_gateway.decisions import Beliefs
+from quinceferry_gateway.decisions import UpstreamStates
 from quinceferry_gateway.decisions.rate_limits import MIN_REQUESTS_PER_SECOND, PermitSchedule
 from quinceferry_gateway.fleet.calls import CallTimeoutError, DatagramCalls
 from quinceferry_gateway.logs import log
 from quinceferry_gateway.metrics import Metrics
-from quinceferry_gateway.rendezvous import ranked
+from quinceferry_gateway.rendezvous import rank_candidates
 
-PERMIT = "permit"
+PERMIT_CALL_KIND = "permit"
 """Kind of the datagram call that requests a permit."""
 PERMIT_TIMEOUT_SECONDS = 0.15
 """Longest wait for a reply, which allows one resend after a loss."""
@@ -23,7 +23,7 @@
 """Time for which no permit is expected for an upstream after its issuer did not reply."""
 MIN_PAUSE_SECONDS = 0.02
 """Shortest time for which no permit is expected after a failed request for one."""
-MAX_RATE = 1e9
+MAX_REQUESTS_PER_SECOND = 1e9
 """Largest rate accepted from a peer, in requests a second."""
 MAX_SCHEDULES = 1_024
 """Most schedules that an issuer keeps, one per lifetime of an upstream; evicts the oldest."""
@@ -62,9 +62,11 @@
     A duplicated call reserves two slots, one of which stays unused.
     """
 
-    def __init__(self, blackboard: Blackboard, beliefs: Beliefs, clock: Clock) -> None:
+    def __init__(
+        self, blackboard: Blackboard, upstream_states: UpstreamStates, clock: Clock
+    ) -> None:
         self._blackboard = blackboard
-        self._beliefs = beliefs
+        self._upstream_states = upstream_states
         self._clock = clock
         self._schedules_by_lifetime: dict[Lifetime, PermitSchedule] = {}
 
@@ -74,7 +76,7 @@
         :raises msgspec.DecodeError: the request is malformed, or its rate or wait is out of range.
         """
         request = msgspec.msgpack.decode(body, type=PermitRequest)
-        if not (0 <= request.rate <= MAX_RATE and request.max_wait_seconds >= 0):
+        if not (0 <= request.rate <= MAX_REQUESTS_PER_SECOND and request.max_wait_seconds >= 0):
             raise msgspec.DecodeError(f"rate or wait out of range: {request}")
         return msgspec.msgpack.encode(self.issue(request))
 
@@ -87,20 +89,20 @@
             while len(self._schedules_by_lifetime) >= MAX_SCHEDULES:
                 del self._schedules_by_lifetime[next(iter(self._schedules_by_lifetime))]
             schedule = self._schedules_by_lifetime[lifetime] = PermitSchedule(now)
-        sole_issuer = issuer_of(self._blackboard, request.upstream) is self._blackboard.own
-        rate = max(MIN_REQUESTS_PER_SECOND, self._rate(request, now))
+        sole_issuer = permit_issuer(self._blackboard, request.upstream) is self._blackboard.own
+        rate = max(MIN_REQUESTS_PER_SECOND, self._rate_limit(request, now))
         reservation = schedule.reserve(rate, sole_issuer, request.max_wait_seconds, now)
         return PermitReply(
             reservation.reserved, reservation.wait_seconds, reservation.retry_seconds
         )
 
-    def _rate(self, request: PermitRequest, now: float) -> float:
+    def _rate_limit(self, request: PermitRequest, now: float) -> float:
         """Return the limit known to this gateway, or else the one in the request."""
         upstream = self._blackboard.upstreams_by_id.get(request.upstream)
         if upstream is None or upstream.started_at != request.started_at:
             return request.rate
-        known = self._beliefs.of(upstream).rate_limit.current(now)
-        return request.rate if known is None else known
+        known_rate = self._upstream_states.get(upstream).rate_limit.current(now)
+        return request.rate if known_rate is None else known_rate
 
 
 class SendPermits:
@@ -112,45 +114,49 @@
     def __init__(
         self,
         blackboard: Blackboard,
-        beliefs: Beliefs,
+        upstream_states: UpstreamStates,
         calls: DatagramCalls,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self._blackboard = blackboard
-        self._beliefs = beliefs
+        self._upstream_states = upstream_states
         self._calls = calls
         self._clock = clock
         self._metrics = metrics
-        self._issuer = PermitIssuer(blackboard, beliefs, clock)
-        calls.serve(PERMIT, self._issuer.serve)
+        self._issuer = PermitIssuer(blackboard, upstream_states, clock)
+        calls.register_handler(PERMIT_CALL_KIND, self._issuer.serve)
 
     def needed(self, upstream: Upstream) -> bool:
         """Tell whether a request to an upstream needs a permit."""
-        return self._rate(upstream) is not None
+        return self._rate_limit(upstream) is not None
 
     def pause_seconds(self, upstream: Upstream) -> float:
         """Return the time until an immediate permit may be requested, zero if it may be now."""
         if not self.needed(upstream):
             return 0.0
-        return max(0.0, self._beliefs.of(upstream).no_permit_until - self._clock.monotonic())
+        return max(
+            0.0, self._upstream_states.get(upstream).no_permit_until - self._clock.monotonic()
+        )
 
     def wait_seconds(self, upstream: Upstream) -> float:
         """Return the time until the next permit is valid for a request that waits for it."""
         if not self.needed(upstream):
             return 0.0
-        return max(0.0, self._beliefs.of(upstream).next_permit_at - self._clock.monotonic())
+        return max(
+            0.0, self._upstream_states.get(upstream).next_permit_at - self._clock.monotonic()
+        )
 
     async def acquire(self, upstream: Upstream, max_wait_seconds: float) -> float | None:
         """Return the seconds until a request may be sent, None if no permit was granted.
 
         :param max_wait_seconds: longest acceptable wait.
         """
-        rate = self._rate(upstream)
+        rate = self._rate_limit(upstream)
         if rate is None:
             return 0.0
         request = PermitRequest(upstream.id, upstream.started_at, rate, max_wait_seconds)
-        issuer = issuer_of(self._blackboard, upstream.id)
+        issuer = permit_issuer(self._blackboard, upstream.id)
         if issuer is self._blackboard.own:
             reply = self._issuer.issue(request)
         else:
@@ -159,20 +165,20 @@
             self._metrics.permit("granted")
             return reply.wait_seconds
         self._metrics.permit("denied" if reply else "unanswered")
-        belief, now = self._beliefs.of(upstream), self._clock.monotonic()
+        state, now = self._upstream_states.get(upstream), self._clock.monotonic()
         wait = reply.wait_seconds if reply else UNANSWERED_PAUSE_SECONDS
         pause = reply.retry_seconds if reply else UNANSWERED_PAUSE_SECONDS
-        belief.next_permit_at = now + max(MIN_PAUSE_SECONDS, wait)
-        belief.no_permit_until = now + max(MIN_PAUSE_SECONDS, pause)
+        state.next_permit_at = now + max(MIN_PAUSE_SECONDS, wait)
+        state.no_permit_until = now + max(MIN_PAUSE_SECONDS, pause)
         return None
 
-    def _rate(self, upstream: Upstream) -> float | None:
+    def _rate_limit(self, upstream: Upstream) -> float | None:
         """Return the rate limit in force for an upstream, None without one."""
-        if upstream.id not in self._beliefs.limited_ids:
+        if upstream.id not in self._upstream_states.rate_limited_ids:
             return None
-        rate = self._beliefs.of(upstream).rate_limit.current(self._clock.monotonic())
+        rate = self._upstream_states.get(upstream).rate_limit.current(self._clock.monotonic())
         if rate is None:
-            self._beliefs.limited_ids.discard(upstream.id)
+            self._upstream_states.rate_limited_ids.discard(upstream.id)
         return rate
 
     async def _request_permit(self, issuer: Member, request: PermitRequest) -> PermitReply | None:
@@ -180,7 +186,7 @@
         body = msgspec.msgpack.encode(request)
         try:
             reply = await self._calls.call(
-                issuer.peer_address, PERMIT, body, PERMIT_TIMEOUT_SECONDS
+                issuer.peer_address, PERMIT_CALL_KIND, body, PERMIT_TIMEOUT_SECONDS
             )
             return msgspec.msgpack.decode(reply, type=PermitReply)
         except (CallTimeoutError, msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -188,7 +194,7 @@
             return None
 
 
-def issuer_of(blackboard: Blackboard, upstream_id: str) -> Member:
+def permit_issuer(blackboard: Blackboard, upstream_id: str) -> Member:
     """Return the gateway that grants permits for an upstream.
 
     Ranking by VM keeps the assignment when a gateway restarts on the same VM.
@@ -196,4 +202,4 @@
     members_by_vm = {member.vm: member for member in blackboard.usable_members()}
     if not members_by_vm:
         return blackboard.own
-    return members_by_vm[ranked(upstream_id, members_by_vm)[0]]
+    return members_by_vm[rank_candidates(upstream_id, members_by_vm)[0]]
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/progress.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/progress.py
@@ -7,7 +7,7 @@
 from quinceferry_gateway.catalog import AnswerHead, Call, Route, Workspace
 from quinceferry_gateway.decisions import Demand
 from quinceferry_gateway.events import EventBuffer, StreamPace
-from quinceferry_gateway.fingerprints import fingerprint_of
+from quinceferry_gateway.fingerprints import request_fingerprint
 
 SendHead = Callable[[AnswerHead], Awaitable[None]]
 SendBytes = Callable[[bytes], Awaitable[None]]
@@ -28,10 +28,10 @@
 class Progress:
     """How far a request has come.
 
-    ``arrivals`` counts the sends that reached some upstream, ``misdirected`` those of them that
-    reached another one than the chosen. ``may_have_run`` tells that some attempt reached an
-    upstream that did not say it refused; ``repeat_granted`` that the retry budget has already
-    granted the next one.
+    ``delivered_sends`` counts the sends that reached an upstream, ``misdirected`` those of them
+    that reached another upstream than the chosen one. ``may_have_run`` tells whether an attempt
+    reached an upstream that did not reject it, and ``retry_granted`` whether the retry budget has
+    already granted the next attempt.
     """
 
     call: Call
@@ -41,10 +41,10 @@
     ends_at: float
     stream: CallerStream
     demand: Demand
-    tried: list[str] = field(default_factory=list)
-    arrivals: int = 0
+    tried_upstream_ids: list[str] = field(default_factory=list)
+    delivered_sends: int = 0
     misdirected: int = 0
-    repeat_granted: bool = False
+    retry_granted: bool = False
     may_have_run: bool = False
     last_failure: Whole | None = None
     last_detail: str = ""
@@ -55,7 +55,7 @@
         """Return what tells the request's content from others; worked out when first asked for."""
         if not self._fingerprint:
             workspace = self.workspace.name if self.workspace else ""
-            self._fingerprint = fingerprint_of(self.call, workspace)
+            self._fingerprint = request_fingerprint(self.call, workspace)
         return self._fingerprint
 
     @property
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/quarantine_records.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/quarantine_records.py
@@ -9,7 +9,7 @@
 from quinceferry_core.exceptions import KvConflictError, KvError
 from quinceferry_gateway.blackboard import Blackboard
 from quinceferry_gateway.controllers import Controller
-from quinceferry_gateway.crashes import CrashWatch
+from quinceferry_gateway.crashes import CrashMonitor
 from quinceferry_gateway.logs import log
 from quinceferry_gateway.store_health import note_answer, note_failure
 
@@ -35,20 +35,20 @@
     """
 
     def __init__(
-        self, blackboard: Blackboard, store: KvStore, clock: Clock, crashes: CrashWatch
+        self, blackboard: Blackboard, store: KvStore, clock: Clock, crashes: CrashMonitor
     ) -> None:
         super().__init__()
         self._blackboard = blackboard
         self._store = store
         self._clock = clock
         self._crashes = crashes
-        crashes.concluded = self._concluded
+        crashes.on_quarantine_decided = self._quarantine_decided
 
     async def start(self) -> None:
         """Begin to read."""
         self.spawn(self._read(), "quarantine")
 
-    def _concluded(self, content: str, seconds: float, by_own_evidence: bool) -> None:
+    def _quarantine_decided(self, content: str, seconds: float, by_own_evidence: bool) -> None:
         """Write a record of a conclusion, if that is up to this gateway."""
         if by_own_evidence or self._blackboard.reader:
             self.spawn(self._write(content, seconds), "quarantine record")
@@ -63,12 +63,14 @@
                 await self._clock.sleep(RETRY_SECONDS)
                 continue
             note_answer(self._blackboard)
-            self._crashes.hold(self._seconds_by_content(entries), "store")
+            self._crashes.add_quarantined(self._seconds_by_content(entries), "store")
             return
 
     async def _write(self, content: str, seconds: float) -> None:
         """Write a record unless there is one, for as long as it matters."""
-        record = QuarantineRecord(content, datetime.fromtimestamp(self._unix() + seconds, UTC))
+        record = QuarantineRecord(
+            content, datetime.fromtimestamp(self._unix_seconds() + seconds, UTC)
+        )
         ends_at = self._clock.monotonic() + seconds
         while self._clock.monotonic() < ends_at:
             try:
@@ -98,9 +100,9 @@
             except (msgspec.DecodeError, UnicodeDecodeError) as error:
                 log.failure("quarantine.malformed", key=entry.key, error=str(error))
                 continue
-            seconds_by_content[record.content] = record.ends_at.timestamp() - self._unix()
+            seconds_by_content[record.content] = record.ends_at.timestamp() - self._unix_seconds()
         return seconds_by_content
 
-    def _unix(self) -> float:
+    def _unix_seconds(self) -> float:
         """Return the wall-clock time in seconds."""
         return self._clock.now().timestamp()
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/relay.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/relay.py
@@ -16,8 +16,8 @@
 from quinceferry_gateway.attempt_log import log_attempt
 from quinceferry_gateway.blackboard import Blackboard
 from quinceferry_gateway.catalog import AnswerHead, Upstream
-from quinceferry_gateway.crashes import CrashWatch, quarantine_refusal
-from quinceferry_gateway.decisions import Attempt, Beliefs, Placement
+from quinceferry_gateway.crashes import CrashMonitor, quarantine_refusal
+from quinceferry_gateway.decisions import Attempt, Placement, UpstreamStates
 from quinceferry_gateway.exceptions import (
     ConnectionBrokenError,
     ForeignAnswerError,
@@ -29,8 +29,8 @@
 from quinceferry_gateway.logs import log
 from quinceferry_gateway.progress import Progress
 from quinceferry_gateway.retries import RetryBudget
-from quinceferry_gateway.sends import SendTeller
-from quinceferry_gateway.upstream_choice import PermitDenied, UpstreamChoice
+from quinceferry_gateway.sends import SendNotifier
+from quinceferry_gateway.upstream_choice import PermitDenied, UpstreamSelector
 
 PATIENCE_OBJECTIVES = 2.5
 """How many times the objective an upstream may take until its first byte, before a request that may
@@ -57,19 +57,19 @@
     def __init__(
         self,
         blackboard: Blackboard,
-        beliefs: Beliefs,
-        choice: UpstreamChoice,
-        teller: SendTeller,
+        upstream_states: UpstreamStates,
+        selector: UpstreamSelector,
+        send_notifier: SendNotifier,
         dialect: Dialect,
         exchanges: Exchanges,
         clock: Clock,
         retry_budget: Callable[[str], RetryBudget],
-        crashes: CrashWatch,
+        crashes: CrashMonitor,
     ) -> None:
         self._blackboard = blackboard
-        self._beliefs = beliefs
-        self._choice = choice
-        self._teller = teller
+        self._upstream_states = upstream_states
+        self._selector = selector
+        self._send_notifier = send_notifier
         self._dialect = dialect
         self._exchanges = exchanges
         self._clock = clock
@@ -83,29 +83,29 @@
             placement = await self._next_placement(progress)
             if not isinstance(placement, Placement):
                 return placement
-            progress.tried.append(placement.upstream.id)
+            progress.tried_upstream_ids.append(placement.upstream.id)
             outcome = await self._attempt(progress, placement)
             log_attempt(progress, placement, outcome, self._missing_seconds(placement.upstream))
             match outcome:
                 case Streamed():
-                    self._crashes.completed(progress)
+                    self._crashes.request_completed(progress)
                     return outcome
                 case Whole(head, _):
                     progress.may_have_run = True
                     if head.status < SERVER_ERROR:
-                        self._crashes.completed(progress)
+                        self._crashes.request_completed(progress)
                     if not self._worth_another(progress, head):
                         return outcome
                     progress.last_failure = outcome
                 case NotRun(detail, sent, misdirected):
-                    progress.arrivals += sent
+                    progress.delivered_sends += sent
                     progress.misdirected += misdirected
                     progress.last_detail = detail
                 case Unknown(detail):
-                    progress.arrivals += 1
+                    progress.delivered_sends += 1
                     progress.may_have_run = True
                     progress.last_detail = detail
-                    if not progress.route.repeatable or not self._crashes.may_repeat(progress):
+                    if not progress.route.retryable or not self._crashes.may_retry(progress):
                         return self._unrepeatable(progress)
 
     def _unrepeatable(self, progress: Progress) -> Refusal:
@@ -120,17 +120,17 @@
             answer = self._final_answer(progress)
             if answer is not None:
                 return answer
-            placement = self._choice.preferred(progress)
-            if placement is None and not self._choice.has_usable(progress):
+            placement = self._selector.select_preferred(progress)
+            if placement is None and not self._selector.has_usable(progress):
                 return self._given_up(progress)
-            if progress.arrivals and not self._may_repeat(progress):
+            if progress.delivered_sends and not self._may_repeat(progress):
                 return self._given_up(progress)
             max_wait = self._max_permit_wait_seconds(progress)
-            match await self._choice.acquire(progress, placement, max_wait):
+            match await self._selector.acquire(progress, placement, max_wait):
                 case PermitDenied(retry_seconds):
                     return self._rate_limited(progress, retry_seconds)
                 case Placement() as chosen if self._final_answer(progress) is None:
-                    progress.repeat_granted = False
+                    progress.retry_granted = False
                     return chosen
 
     def _final_answer(self, progress: Progress) -> Refusal | Whole | None:
@@ -138,11 +138,11 @@
         if self._clock.monotonic() >= progress.ends_at:
             return self._timed_out(progress)
         # Others may have found out what the request does while it waited for its turn.
-        held_seconds = self._crashes.held_seconds(progress)
+        held_seconds = self._crashes.quarantine_seconds(progress)
         if held_seconds:
             return self._quarantined(progress, held_seconds)
         # What reached another upstream than the chosen one was no attempt at the service.
-        if progress.arrivals - progress.misdirected >= progress.route.attempts:
+        if progress.delivered_sends - progress.misdirected >= progress.route.attempts:
             return self._given_up(progress)
         return None
 
@@ -159,12 +159,12 @@
 
     def _may_repeat(self, progress: Progress) -> bool:
         """Tell whether the retry budget grants one more send, and take it."""
-        if not progress.repeat_granted:
+        if not progress.retry_granted:
             members = len(self._blackboard.usable_members())
-            progress.repeat_granted = self._retry_budget(progress.service).take(members)
-            if not progress.repeat_granted:
+            progress.retry_granted = self._retry_budget(progress.service).try_acquire(members)
+            if not progress.retry_granted:
                 log.failure("retry.budget_spent", request=progress.call.request_id)
-        return progress.repeat_granted
+        return progress.retry_granted
 
     def _given_up(self, progress: Progress) -> Refusal | Whole:
         """Return the answer to a request for which no attempt is left."""
@@ -172,11 +172,11 @@
             return progress.last_failure
         if progress.may_have_run:
             return Refusal(Reason.OUTCOME_UNKNOWN, progress.last_detail)
-        pause_seconds = min(self._choice.remaining_pause_seconds(progress), MAX_RETRY_SECONDS)
+        pause_seconds = min(self._selector.remaining_pause_seconds(progress), MAX_RETRY_SECONDS)
         if pause_seconds:
             detail = progress.last_detail or "all upstreams asked for a pause"
             return Refusal(Reason.UPSTREAMS_PAUSED, detail, retry_seconds=pause_seconds)
-        reason = Reason.UPSTREAMS_REFUSED if progress.tried else Reason.NO_UPSTREAM
+        reason = Reason.UPSTREAMS_REFUSED if progress.tried_upstream_ids else Reason.NO_UPSTREAM
         return Refusal(reason, progress.last_detail)
 
     def _rate_limited(self, progress: Progress, retry_seconds: float) -> Refusal | Whole:
@@ -201,10 +201,10 @@
 
     def _worth_another(self, progress: Progress, head: AnswerHead) -> bool:
         """Tell whether an upstream's own failure should be tried elsewhere."""
-        if head.status < SERVER_ERROR or not progress.route.repeatable or progress.stream.begun:
+        if head.status < SERVER_ERROR or not progress.route.retryable or progress.stream.begun:
             return False
-        progress.arrivals += 1
-        return progress.arrivals < progress.route.attempts
+        progress.delivered_sends += 1
+        return progress.delivered_sends < progress.route.attempts
 
     async def _attempt(self, progress: Progress, placement: Placement) -> AttemptOutcome:
         """Send the request to one upstream."""
@@ -224,29 +224,29 @@
             async with asyncio.timeout(remaining):
                 return await self._with_patience(progress, upstream, headers, attempt)
         except NotSentError as error:
-            attempt.failed(self._clock.monotonic())
+            attempt.record_failure(self._clock.monotonic())
             return NotRun(str(error), sent=False)
         except ForeignAnswerError as error:
             return Unknown(str(error))
         except PeerClosedError as error:
-            attempt.failed(self._clock.monotonic())
-            await self._crashes.closed(progress, upstream, attempt.stage)
+            attempt.record_failure(self._clock.monotonic())
+            await self._crashes.connection_closed(progress, upstream, attempt.stage)
             return Unknown(str(error))
         except ConnectionBrokenError as error:
-            attempt.failed(self._clock.monotonic())
+            attempt.record_failure(self._clock.monotonic())
             return Unknown(str(error))
         except TimeoutError:
             return Unknown("the request's time is up")
         finally:
-            attempt.ended(self._clock.monotonic())
+            attempt.finish(self._clock.monotonic())
 
     def _begin(self, progress: Progress, placement: Placement) -> Attempt:
         """Note an attempt that is about to be sent, here and at peers."""
-        self._teller.tell(placement, progress.demand)
-        return self._beliefs.attempt(
+        self._send_notifier.notify_peers(placement, progress.demand)
+        return self._upstream_states.start_attempt(
             placement.upstream,
-            placement.unread_tokens,
-            progress.demand.shared_key,
+            placement.uncached_tokens,
+            progress.demand.prefix_key,
             self._clock.monotonic(),
         )
 
@@ -286,9 +286,12 @@
     def _can_go_on(self, progress: Progress) -> bool:
         """Tell whether the attempt under way may be followed by another one elsewhere."""
         route = progress.route
-        if not route.repeatable or progress.arrivals - progress.misdirected + 1 >= route.attempts:
+        if (
+            not route.retryable
+            or progress.delivered_sends - progress.misdirected + 1 >= route.attempts
+        ):
             return False
-        return self._choice.unlimited(progress) is not None
+        return self._selector.select_unlimited(progress) is not None
 
 
 def _priority(progress: Progress) -> int:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/rendezvous.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/rendezvous.py
@@ -12,11 +12,11 @@
 _SHIFT = 31
 
 
-def ranked(key: str, candidates: Iterable[str]) -> list[str]:
+def rank_candidates(key: str, candidates: Iterable[str]) -> list[str]:
     """Return the candidates, best first; adding or removing one moves no other pair."""
     mixed_key = _digest(key)
     return sorted(
-        candidates, key=lambda candidate: _mixed(mixed_key ^ _digest(candidate)), reverse=True
+        candidates, key=lambda candidate: _mix(mixed_key ^ _digest(candidate)), reverse=True
     )
 
 
@@ -26,7 +26,7 @@
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=_BITS // 8).digest())
 
 
-def _mixed(number: int) -> int:
+def _mix(number: int) -> int:
     """Return a number that looks unrelated to a similar one's.
 
     Hashing each pair as text takes 0.13 ms for 100 candidates, mixing their digests 0.04 ms.
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/reservations.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/reservations.py
@@ -19,7 +19,7 @@
     Settlement,
     SettleRequest,
 )
-from quinceferry_gateway.rendezvous import ranked
+from quinceferry_gateway.rendezvous import rank_candidates
 from quinceferry_gateway.settings import BudgetSettings
 
 RESERVE_TIMEOUT_SECONDS = 0.35
@@ -197,7 +197,7 @@
         """Return the vms to ask: this one if it holds, then those with most, failed ones last."""
         board, now = self._blackboard, self._clock.monotonic()
         holders = holder_vms(board, self._settings)
-        others = [vm for vm in ranked(workspace, holders) if vm != board.own.vm]
+        others = [vm for vm in rank_candidates(workspace, holders) if vm != board.own.vm]
         others.sort(key=lambda vm: self._expected(vm, workspace, now), reverse=True)
         own = [board.own.vm] if board.own.vm in holders else []
         return [*own, *others][:MAX_ASKED]
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/retries.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/retries.py
@@ -4,7 +4,7 @@
 
 from quinceferry_core.clocks import Clock
 
-SAFETY_SHARE = 0.8
+USABLE_SHARE = 0.8
 """Part of the budget that is used; the rest covers members that come and go within a window."""
 
 
@@ -22,23 +22,23 @@
         self._slack = slack
         self._window_seconds = window_seconds
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def count_request(self) -> None:
         """Note a request that callers sent."""
         self._requests.append(self._clock.monotonic())
 
-    def take(self, members: int) -> bool:
+    def try_acquire(self, members: int) -> bool:
         """Take one repeat out of the budget, if this gateway's share has one left.
 
         :param members: gateways that share the budget.
         """
         now = self._clock.monotonic()
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and now - times[0] > self._window_seconds:
                 times.popleft()
         allowed = self._ratio * len(self._requests) + self._slack / max(1, members)
-        if len(self._repeats) + 1 > SAFETY_SHARE * allowed:
+        if len(self._retries) + 1 > USABLE_SHARE * allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/signals.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/signals.py
@@ -9,13 +9,13 @@
 from quinceferry_core.clocks import Clock
 from quinceferry_gateway.blackboard import Blackboard
 from quinceferry_gateway.catalog import AnswerHead, Upstream
-from quinceferry_gateway.decisions import Beliefs
+from quinceferry_gateway.decisions import UpstreamStates
 from quinceferry_gateway.fleet.datagrams import DatagramPort
 from quinceferry_gateway.logs import log
 from quinceferry_gateway.metrics import Metrics
-from quinceferry_gateway.permits import MAX_RATE
+from quinceferry_gateway.permits import MAX_REQUESTS_PER_SECOND
 
-MAX_NAME_CHARACTERS = 200
+MAX_ID_CHARACTERS = 200
 """Longest upstream identifier accepted in a notice from a peer."""
 MIN_NOTICE_INTERVAL_SECONDS = 1.0
 """Shortest time between two notices about an upstream, which bounds the traffic if its limit keeps
@@ -47,23 +47,23 @@
     def __init__(
         self,
         blackboard: Blackboard,
-        beliefs: Beliefs,
+        upstream_states: UpstreamStates,
         port: DatagramPort,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         self._blackboard = blackboard
-        self._beliefs = beliefs
+        self._upstream_states = upstream_states
         self._port = port
         self._clock = clock
         self._metrics = metrics
-        port.handle(RateLimitNotice, self._take_notice)
-        port.handle(LeavingNotice, self._take_leaving_notice)
+        port.add_handler(RateLimitNotice, self._handle_rate_limit_notice)
+        port.add_handler(LeavingNotice, self._handle_leaving_notice)
         metrics.observe_rate_limits(self._limited_upstreams)
 
     def request_sent(self, upstream: Upstream) -> None:
         """Count a request if the upstream limits its request rate."""
-        if self._beliefs.of(upstream).rate_limit.announced is not None:
+        if self._upstream_states.get(upstream).rate_limit.announced is not None:
             self._metrics.rate_limited_send(upstream.service)
 
     def answer_received(self, upstream: Upstream, head: AnswerHead) -> None:
@@ -74,11 +74,11 @@
         """
         if head.misdirected:
             return
-        belief = self._beliefs.of(upstream)
-        if head.malformed_headers and head.malformed_headers != belief.malformed_headers:
+        state = self._upstream_states.get(upstream)
+        if head.malformed_headers and head.malformed_headers != state.malformed_headers:
             log.failure("answer.malformed", upstream=upstream.id, headers=head.malformed_headers)
-        belief.malformed_headers = head.malformed_headers
-        if head.leaving and self._note_leaving(upstream.id, upstream.started_at, "own"):
+        state.malformed_headers = head.malformed_headers
+        if head.leaving and self._record_leaving(upstream.id, upstream.started_at, "own"):
             self._send_to_peers(LeavingNotice(upstream.id, upstream.started_at))
         self._update_pause(upstream, head.retry_after_seconds)
         rate = head.max_requests_per_second
@@ -89,7 +89,7 @@
 
     def _update_pause(self, upstream: Upstream, seconds: float | None) -> None:
         """Begin, extend or end the pause of an upstream and log and count each one it asks for."""
-        pause, now = self._beliefs.of(upstream).pause, self._clock.monotonic()
+        pause, now = self._upstream_states.get(upstream).pause, self._clock.monotonic()
         if seconds is None:
             pause.answer_received(now)
             return
@@ -99,11 +99,11 @@
 
     def _update_rate_limit(self, upstream: Upstream, rate: float | None, origin: str) -> None:
         """Store the rate limit of an upstream and log a change."""
-        limit = self._beliefs.of(upstream).rate_limit
+        limit = self._upstream_states.get(upstream).rate_limit
         before = limit.announced
         limit.announce(rate, self._clock.monotonic())
         if rate is not None:
-            self._beliefs.limited_ids.add(upstream.id)
+            self._upstream_states.rate_limited_ids.add(upstream.id)
         if rate == before:
             return
         fields = {"upstream": upstream.id, "before": before, "origin": origin}
@@ -114,44 +114,44 @@
 
     def _notify_peers(self, upstream: Upstream) -> None:
         """Send the rate limit of an upstream to all peers if it is new to them."""
-        belief = self._beliefs.of(upstream)
-        rate, now = belief.rate_limit.announced, self._clock.monotonic()
-        if rate == belief.notified_rate or now - belief.notified_at < MIN_NOTICE_INTERVAL_SECONDS:
+        state = self._upstream_states.get(upstream)
+        rate, now = state.rate_limit.announced, self._clock.monotonic()
+        if rate == state.notified_rate or now - state.notified_at < MIN_NOTICE_INTERVAL_SECONDS:
             return
-        belief.notified_rate, belief.notified_at = rate, now
+        state.notified_rate, state.notified_at = rate, now
         self._send_to_peers(RateLimitNotice(upstream.id, upstream.started_at, rate))
 
     def _send_to_peers(self, notice: msgspec.Struct) -> None:
         """Send a notice to all peers, including those that seem unreachable."""
         self._port.send(notice, [peer.peer_address for peer in self._blackboard.peers()])
 
-    def _note_leaving(self, upstream_id: str, started_at: float, origin: str) -> bool:
+    def _record_leaving(self, upstream_id: str, started_at: float, origin: str) -> bool:
         """Record and log that an upstream is leaving, and return whether this is new."""
-        if not self._beliefs.note_leaving(upstream_id, started_at):
+        if not self._upstream_states.record_leaving(upstream_id, started_at):
             return False
         log.change("upstream.leaving", upstream=upstream_id, origin=origin)
         return True
 
-    def _take_leaving_notice(self, notice: LeavingNotice, sender: object) -> None:
+    def _handle_leaving_notice(self, notice: LeavingNotice, sender: object) -> None:
         """Apply a notice from a peer, even if the upstream is not yet known to this gateway."""
-        if len(notice.upstream) > MAX_NAME_CHARACTERS:
+        if len(notice.upstream) > MAX_ID_CHARACTERS:
             log.failure("leaving.malformed", peer=str(sender))
             return
-        self._note_leaving(notice.upstream, notice.started_at, str(sender))
+        self._record_leaving(notice.upstream, notice.started_at, str(sender))
 
-    def _take_notice(self, notice: RateLimitNotice, sender: object) -> None:
+    def _handle_rate_limit_notice(self, notice: RateLimitNotice, sender: object) -> None:
         """Apply a notice from a peer; ignore one about an unknown upstream."""
         upstream = self._blackboard.upstreams_by_id.get(notice.upstream)
         if upstream is None or upstream.started_at != notice.started_at:
             return
-        if notice.rate is not None and not 0 <= notice.rate <= MAX_RATE:
+        if notice.rate is not None and not 0 <= notice.rate <= MAX_REQUESTS_PER_SECOND:
             log.failure("limit.malformed", peer=str(sender), rate=str(notice.rate))
             return
         self._update_rate_limit(upstream, notice.rate, str(sender))
-        self._beliefs.of(upstream).notified_rate = notice.rate
+        self._upstream_states.get(upstream).notified_rate = notice.rate
 
     def _limited_upstreams(self) -> int:
         """Return how many upstreams limit their request rate."""
         upstreams = self._blackboard.upstreams_by_id.values()
-        limits = [self._beliefs.of(upstream).rate_limit for upstream in upstreams]
+        limits = [self._upstream_states.get(upstream).rate_limit for upstream in upstreams]
         return sum(limit.announced is not None for limit in limits)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_choice.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_choice.py
@@ -5,7 +5,7 @@
 from quinceferry_core.clocks import Clock
 from quinceferry_gateway.blackboard import Blackboard
 from quinceferry_gateway.catalog import Upstream
-from quinceferry_gateway.decisions import Beliefs, Placement, Placer
+from quinceferry_gateway.decisions import Placement, Placer, UpstreamStates
 from quinceferry_gateway.permits import SendPermits
 from quinceferry_gateway.progress import Progress
 
@@ -23,7 +23,7 @@
     retry_seconds: float
 
 
-class UpstreamChoice:
+class UpstreamSelector:
     """Chooses the upstream of each attempt and acquires a permit where one is needed.
 
     :param permits: acquires permits for requests to rate-limited upstreams.
@@ -32,25 +32,25 @@
     def __init__(
         self,
         blackboard: Blackboard,
-        beliefs: Beliefs,
+        upstream_states: UpstreamStates,
         placer: Placer,
         permits: SendPermits,
         clock: Clock,
     ) -> None:
         self._blackboard = blackboard
-        self._beliefs = beliefs
+        self._upstream_states = upstream_states
         self._placer = placer
         self._permits = permits
         self._clock = clock
 
-    def preferred(self, progress: Progress) -> Placement | None:
+    def select_preferred(self, progress: Progress) -> Placement | None:
         """Return the best placement among upstreams that need no permit or may grant one now."""
         candidates = self._candidates(progress)
-        if self._beliefs.limited_ids:
+        if self._upstream_states.rate_limited_ids:
             candidates = [item for item in candidates if not self._permits.pause_seconds(item)]
         return self._place(progress, candidates)
 
-    def unlimited(self, progress: Progress) -> Placement | None:
+    def select_unlimited(self, progress: Progress) -> Placement | None:
         """Return the best placement among upstreams that need no permit."""
         candidates = [item for item in self._candidates(progress) if not self._permits.needed(item)]
         return self._place(progress, candidates)
@@ -73,16 +73,18 @@
                 return await self._wait_for_permit(progress, max_wait_seconds)
             if await self._permits.acquire(placement.upstream, 0.0) is not None:
                 return placement
-            placement = self.preferred(progress)
-        return self.unlimited(progress) or await self._wait_for_permit(progress, max_wait_seconds)
+            placement = self.select_preferred(progress)
+        return self.select_unlimited(progress) or await self._wait_for_permit(
+            progress, max_wait_seconds
+        )
 
     def remaining_pause_seconds(self, progress: Progress) -> float:
         """Return the time until the first pause of an upstream ends, zero if one is not paused."""
         now = self._clock.monotonic()
         remaining = [
-            self._beliefs.of(item).pause.blocked_until - now
+            self._upstream_states.get(item).pause.blocked_until - now
             for item in self._candidates(progress)
-            if not item.draining and not self._beliefs.is_leaving(item)
+            if not item.draining and not self._upstream_states.is_leaving(item)
         ]
         return max(0.0, min(remaining, default=0.0))
 
@@ -111,7 +113,7 @@
     def _place(self, progress: Progress, candidates: list[Upstream]) -> Placement | None:
         """Return the best placement among the candidates, None if none is usable."""
         now = self._clock.monotonic()
-        return self._placer.place(progress.demand, candidates, progress.tried, now)
+        return self._placer.place(progress.demand, candidates, progress.tried_upstream_ids, now)
 
     def _candidates(self, progress: Progress) -> list[Upstream]:
         """Return the upstreams of the request's service."""
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
@@ -16,21 +16,21 @@
 from quinceferry_gateway.blackboard import Blackboard
 from quinceferry_gateway.catalog import Upstream, UpstreamList
 from quinceferry_gateway.controllers import Controller
-from quinceferry_gateway.fleet.digests import Summary, summary_of
-from quinceferry_gateway.fleet.duties import (
+from quinceferry_gateway.fleet.digests import CopySummary, summarize_copy
+from quinceferry_gateway.fleet.packing import pack, unpack
+from quinceferry_gateway.fleet.read_schedule import (
     INTERVAL_SHARE,
-    LIMIT_SHARE,
-    SOONEST_READ_SECONDS,
+    MAX_AGE_SHARE,
+    MIN_PAUSE_SECONDS,
     ReadSchedule,
 )
-from quinceferry_gateway.fleet.packing import pack, unpack
 from quinceferry_gateway.interfaces import CatalogSource
 from quinceferry_gateway.logs import log
 from quinceferry_gateway.store_health import note_answer, note_failure
 
-HEARTBEATS_OF_LEASE = 3
+HEARTBEATS_PER_LEASE = 3
 """Heartbeats without renewal after which the lease of an upstream ends."""
-LAPSE_GRACE_SECONDS = 2.5
+ABSENCE_GRACE_SECONDS = 2.5
 """How long after the store's return a missing upstream may be used: live ones are back within about
 two seconds, and three seconds after it one that has left may get no more requests."""
 
@@ -65,7 +65,7 @@
         source: CatalogSource,
         clock: Clock,
         heartbeat_seconds: float,
-        draws: random.Random,
+        random_source: random.Random,
         bound_seconds: float,
     ) -> None:
         super().__init__()
@@ -73,13 +73,13 @@
         self._source = source
         self._clock = clock
         self._schedule = ReadSchedule(
-            INTERVAL_SHARE * bound_seconds, LIMIT_SHARE * bound_seconds, draws
+            INTERVAL_SHARE * bound_seconds, MAX_AGE_SHARE * bound_seconds, random_source
         )
         self._content = 0
         self._absences: AbsenceTracker[Upstream] = AbsenceTracker(
-            lease_seconds=HEARTBEATS_OF_LEASE * heartbeat_seconds,
+            lease_seconds=HEARTBEATS_PER_LEASE * heartbeat_seconds,
             renewal_seconds=heartbeat_seconds,
-            grace_seconds=LAPSE_GRACE_SECONDS,
+            grace_seconds=ABSENCE_GRACE_SECONDS,
             registration_of=lambda upstream: upstream.registration,
         )
 
@@ -87,10 +87,10 @@
         """Begin to follow."""
         self.spawn(self._follow(), "upstreams")
 
-    def summary(self, now: float) -> Summary | None:
+    def summary(self, now: float) -> CopySummary | None:
         """Return which copy this gateway has, None without one."""
         board = self._blackboard
-        return summary_of(board.upstreams_revision, self._content, board.upstreams_read_at, now)
+        return summarize_copy(board.upstreams_revision, self._content, board.upstreams_read_at, now)
 
     def confirm(self, revision: int, asked_at: float) -> None:
         """Note that the store held the same list at that time and revision."""
@@ -127,7 +127,7 @@
         asked_at = now - copy.age_seconds
         listed_by_id = {item.id: item for item in copy.listed}
         absent_by_id = {
-            item.upstream.id: (item.upstream, now + min(item.seconds, LAPSE_GRACE_SECONDS))
+            item.upstream.id: (item.upstream, now + min(item.seconds, ABSENCE_GRACE_SECONDS))
             for item in copy.absent
         }
         self._absences.adopt(listed_by_id, absent_by_id, asked_at)
@@ -145,24 +145,24 @@
             next_expiry = None if self._absences.is_failing else self._absences.next_expiry
             if next_expiry is not None and next_expiry <= now:
                 self._publish(board.upstreams_revision, board.upstreams_read_at, now)
-            left = pause if next_expiry is None else max(SOONEST_READ_SECONDS, next_expiry - now)
+            left = pause if next_expiry is None else max(MIN_PAUSE_SECONDS, next_expiry - now)
             await self._clock.sleep(min(pause, left))
 
     async def _read(self, asked_at: float) -> None:
         """Read the list."""
-        self._schedule.began(asked_at)
+        self._schedule.read_started(asked_at)
         try:
             listed = await self._source.upstreams()
         except KvError as error:
             self._absences.record_failure(asked_at)
             board, now = self._blackboard, self._clock.monotonic()
             note_failure(board, error)
-            self._schedule.failed(board.reader, board.upstreams_read_at, now)
+            self._schedule.read_failed(board.reader, board.upstreams_read_at, now)
         else:
             note_answer(self._blackboard)
-            self._take(listed, asked_at)
+            self._apply_list(listed, asked_at)
 
-    def _take(self, listed: UpstreamList, asked_at: float) -> None:
+    def _apply_list(self, listed: UpstreamList, asked_at: float) -> None:
         """Take a list that is not older than the one known."""
         if listed.revision < self._blackboard.upstreams_revision:
             return
@@ -176,14 +176,14 @@
         kept = self._absences.retained(now)
         listed = self._absences.listed_by_id
         self._content = _checksum(listed.values(), kept)
-        self._note_kept(kept, now)
+        self._record_absences(kept, now)
         by_id = {**listed, **kept}
         self._log_changes(board.upstreams_by_id, by_id)
         board.upstreams_revision = revision
         board.upstreams_read_at = asked_at
         board.upstreams_by_id = by_id
 
-    def _note_kept(self, kept: dict[str, Upstream], now: float) -> None:
+    def _record_absences(self, kept: dict[str, Upstream], now: float) -> None:
         """Note since when upstreams are used though the list lacks them, and log new ones."""
         since = self._blackboard.missing_since_by_upstream
         for key in kept.keys() - since.keys():
@@ -193,10 +193,10 @@
     def _log_changes(self, before: dict[str, Upstream], now: dict[str, Upstream]) -> None:
         """Log upstreams that came, went or began to leave."""
         for key, item in now.items():
-            known = before.get(key)
-            if known is None:
+            previous = before.get(key)
+            if previous is None:
                 log.change("upstream.added", upstream=key, service=item.service, addr=item.address)
-            elif item.draining and not known.draining:
+            elif item.draining and not previous.draining:
                 log.change("upstream.draining", upstream=key)
         for key in before.keys() - now.keys():
             log.change("upstream.removed", upstream=key)
--- a/packages/quinceferry-lab/src/quinceferry_lab/placement_experiment.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/placement_experiment.py
@@ -16,15 +16,15 @@
 from quinceferry_gateway.catalog import Load, Upstream
 from quinceferry_gateway.decisions import (
     Attempt,
-    Beliefs,
     Demand,
     Placement,
     PlacementPolicy,
     Placer,
+    UpstreamStates,
 )
-from quinceferry_gateway.decisions.kept_parts import key_of
+from quinceferry_gateway.decisions.cached_prefixes import hash_prefix
 from quinceferry_gateway.decisions.placement import DEFAULT_POLICY
-from quinceferry_gateway.rendezvous import ranked
+from quinceferry_gateway.rendezvous import rank_candidates
 from quinceferry_lab.engine_model import Clockwork, ModelEngine, ModelStream
 from quinceferry_lab.placement_load import CUSTOMERS, Arrival, Customer, arrivals
 
@@ -39,7 +39,7 @@
     """One gateway's beliefs and choices."""
 
     zone: str
-    beliefs: Beliefs
+    upstream_states: UpstreamStates
     placer: Placer
 
 
@@ -102,22 +102,26 @@
 
 def choose_random(run: "Run", gateway: Gateway, arrival: Arrival, demand: Demand) -> Placement:
     """Place a request anywhere."""
-    return Placement(run.source.choice(run.upstreams), demand.own_tokens)
+    return Placement(run.source.choice(run.upstreams), demand.suffix_tokens)
 
 
 def choose_least(run: "Run", gateway: Gateway, arrival: Arrival, demand: Demand) -> Placement:
     """Place a request where fewest are believed to run."""
     now = run.clockwork.now
     best = min(
-        run.upstreams, key=lambda item: (gateway.beliefs.of(item).running(now), run.source.random())
+        run.upstreams,
+        key=lambda item: (
+            gateway.upstream_states.get(item).estimated_running(now),
+            run.source.random(),
+        ),
     )
-    return Placement(best, demand.own_tokens)
+    return Placement(best, demand.suffix_tokens)
 
 
 def choose_home(run: "Run", gateway: Gateway, arrival: Arrival, demand: Demand) -> Placement:
     """Place a request where its shared parts are kept, whatever the load."""
     by_id = {item.id: item for item in run.upstreams}
-    return Placement(by_id[ranked(demand.shared_key, by_id)[0]], demand.own_tokens)
+    return Placement(by_id[rank_candidates(demand.prefix_key, by_id)[0]], demand.suffix_tokens)
 
 
 def choose_ours(run: "Run", gateway: Gateway, arrival: Arrival, demand: Demand) -> Placement:
@@ -142,10 +146,10 @@
     "home": Variant(choose_home, None),
     "ours": Variant(),
     "untold": Variant(told_tokens=None),
-    "unfetched": Variant(policy=replace(DEFAULT_POLICY, fetches=False)),
-    "harmless": Variant(policy=replace(DEFAULT_POLICY, harm_seconds=0.0)),
-    "unslowed": Variant(policy=replace(DEFAULT_POLICY, slow_seconds=0.0)),
-    "zoneless": Variant(policy=replace(DEFAULT_POLICY, far_seconds=0.0)),
+    "unfetched": Variant(policy=replace(DEFAULT_POLICY, fetches_prefixes=False)),
+    "harmless": Variant(policy=replace(DEFAULT_POLICY, stream_delay_cost_seconds=0.0)),
+    "unslowed": Variant(policy=replace(DEFAULT_POLICY, slowdown_cost_seconds=0.0)),
+    "zoneless": Variant(policy=replace(DEFAULT_POLICY, other_zone_cost_seconds=0.0)),
 }
 """Simple ways, ours, and ours without one of its parts each: telling peers, fetching shared parts,
 weighing the harm to others, the belief that an engine is slow, the zone."""
@@ -192,10 +196,12 @@
             self.upstreams.append(Upstream(name, SERVICE, "", zone, slots, False))
         self.gateways = []
         for number in range(gateways):
-            beliefs = Beliefs()
+            upstream_states = UpstreamStates()
             zone = f"zone{number % customer.zones}"
-            placer = Placer(zone, beliefs, random.Random(f"{seed} {number}"), variant.policy)
-            self.gateways.append(Gateway(zone, beliefs, placer))
+            placer = Placer(
+                zone, upstream_states, random.Random(f"{seed} {number}"), variant.policy
+            )
+            self.gateways.append(Gateway(zone, upstream_states, placer))
         self.far = 0
         self.placed = 0
         if slow is not None:
@@ -217,15 +223,15 @@
         arrival = item.arrival
         gateway = self.source.choice(self.gateways)
         demand = Demand(
-            key_of([part for part, _ in arrival.parts]),
+            hash_prefix([part for part, _ in arrival.parts]),
             sum(tokens for _, tokens in arrival.parts),
             arrival.own_tokens,
             arrival.kind.pause_seconds,
         )
         placement = self.variant.choose(self, gateway, arrival, demand)
         now = self.clockwork.now
-        attempt = gateway.beliefs.attempt(
-            placement.upstream, placement.unread_tokens, demand.shared_key, now
+        attempt = gateway.upstream_states.start_attempt(
+            placement.upstream, placement.uncached_tokens, demand.prefix_key, now
         )
         self._tell(gateway, placement, demand)
         self.placed += 1
@@ -239,16 +245,16 @@
     def _tell(self, gateway: Gateway, placement: Placement, demand: Demand) -> None:
         """Tell all other gateways of a long prompt."""
         least = self.variant.told_tokens
-        if least is None or placement.unread_tokens < least:
+        if least is None or placement.uncached_tokens < least:
             return
         for other in self.gateways:
             if other is not gateway:
                 self.clockwork.at(
                     self.clockwork.now + TELL_SECONDS,
-                    lambda other=other: other.beliefs.told(
+                    lambda other=other: other.upstream_states.record_peer_prompt(
                         placement.upstream,
-                        placement.unread_tokens,
-                        demand.shared_key,
+                        placement.uncached_tokens,
+                        demand.prefix_key,
                         self.clockwork.now,
                     ),
                 )
@@ -258,15 +264,15 @@
         now = self.clockwork.now
         if number == 1:
             item.first_seconds = now - item.arrival.at
-            attempt.began(now)
+            attempt.record_first_event(now)
             load = Load(len(engine.running), len(engine.waiting), engine.figures.slots)
-            attempt.reported(load, now)
+            attempt.record_load(load, now)
         else:
             item.longest_pause = max(item.longest_pause, now - item.last_at)
         item.last_at = now
         if number >= item.arrival.events:
             item.whole = True
-            attempt.ended(now)
+            attempt.finish(now)
 
 
 def play(
