--- a/features/fixtures_fleet.py
+++ b/features/fixtures_fleet.py
@@ -288,7 +288,7 @@
         lists_by_kind = {"configuration": configuration, "upstreams": upstreams, "members": members}
         peers = Peers(world.network, address)
         self.copies = CopyReplicator(lists_by_kind, peers, clock, self.gossip.copies_updated)
-        quarantine = Quarantine(crashes=3, hold_seconds=600.0)
+        quarantine = Quarantine(crashes_to_quarantine=3, initial_seconds=600.0)
         self.crashes = CrashMonitor(board, quarantine, Deserted(), self.port, clock, Uncounted())
         self.gossip.attach(self.copies, self.crashes)
         calls = DatagramCalls(self.port, clock, number << CALL_NUMBER_BITS)
--- a/packages/quinceferry-cli/src/quinceferry/client.py
+++ b/packages/quinceferry-cli/src/quinceferry/client.py
@@ -117,7 +117,7 @@
         while True:
             deduplicator.restart()
             try:
-                async for piece in self._pieces(attempts):
+                async for piece in self._stream_pieces(attempts):
                     new_piece = deduplicator.new_part(piece)
                     if new_piece is None:
                         break
@@ -183,7 +183,7 @@
             raise read_refusal(response, response.content, step="send")
         return response
 
-    async def _pieces(self, attempts: RetrySequence) -> AsyncIterator[Piece]:
+    async def _stream_pieces(self, attempts: RetrySequence) -> AsyncIterator[Piece]:
         """Send one attempt and return the pieces of its answer."""
         request = await attempts.next_request(self._http)
         try:
--- a/packages/quinceferry-cli/src/quinceferry/explanations.py
+++ b/packages/quinceferry-cli/src/quinceferry/explanations.py
@@ -47,7 +47,7 @@
 class LogRecord:
     """One log line."""
 
-    at: datetime
+    time: datetime
     vm: str
     event: str
     fields: dict[str, Any]
@@ -76,7 +76,7 @@
         for record in map(_parse_line, lines)
         if record and (record.is_about(request_id) or record.event.startswith(prefixes))
     ]
-    return sorted(records, key=lambda record: record.at)
+    return sorted(records, key=lambda record: record.time)
 
 
 def explain(records: list[LogRecord], request_id: str) -> Explanation:
@@ -102,8 +102,8 @@
         return None
     try:
         fields = json.loads(line[start:])
-        at = datetime.fromisoformat(fields["timestamp"])
-        return LogRecord(at.astimezone(UTC), fields.get("vm", "?"), fields["event"], fields)
+        time = datetime.fromisoformat(fields["timestamp"])
+        return LogRecord(time.astimezone(UTC), fields.get("vm", "?"), fields["event"], fields)
     except (ValueError, KeyError, TypeError):
         return None
 
@@ -113,20 +113,20 @@
     fields = ", ".join(
         f"{key}={value}" for key, value in record.fields.items() if key not in _OMITTED_FIELDS
     )
-    return f"{record.at:%H:%M:%S.%f} {record.vm} {record.event}: {fields}"
+    return f"{record.time:%H:%M:%S.%f} {record.vm} {record.event}: {fields}"
 
 
 def _gateway_state(records: list[LogRecord], first: LogRecord) -> list[str]:
     """Return what the request's gateway believed when its first line was written, with its age."""
     latest_by_topic: dict[str, LogRecord] = {}
     for record in records:
-        if record.vm == first.vm and record.at <= first.at:
+        if record.vm == first.vm and record.time <= first.time:
             topic = record.event.split(".")[0]
             if record.event.startswith(("store.", "configuration.applied", "gateway.")):
                 latest_by_topic[topic] = record
     return [
-        f"{_format_record(record)} ({(first.at - record.at).total_seconds():.1f} s before)"
-        for record in sorted(latest_by_topic.values(), key=lambda record: record.at)
+        f"{_format_record(record)} ({(first.time - record.time).total_seconds():.1f} s before)"
+        for record in sorted(latest_by_topic.values(), key=lambda record: record.time)
     ]
 
 
@@ -144,7 +144,7 @@
         record
         for record in others
         if record.event.startswith("attempt.")
-        and abs((record.at - attempt.at).total_seconds()) <= NEARBY_FAILURE_SECONDS
+        and abs((record.time - attempt.time).total_seconds()) <= NEARBY_FAILURE_SECONDS
     ]
     lines = [
         f"  {len(failures)} other failures at {upstream} within {NEARBY_FAILURE_SECONDS:.0f} s"
--- a/packages/quinceferry-core/src/quinceferry_core/quarantine.py
+++ b/packages/quinceferry-core/src/quinceferry_core/quarantine.py
@@ -109,21 +109,21 @@
 
     Content is named by fingerprints. All times are those of the steady clock, in seconds.
 
-    :param crashes: upstreams that content has crashed when it is put into quarantine.
-    :param hold_seconds: how long the first quarantine lasts.
+    :param crashes_to_quarantine: upstreams that content has crashed when it is put into quarantine.
+    :param initial_seconds: how long the first quarantine lasts.
     """
 
     __slots__ = (
-        "_crashes",
+        "_crashes_to_quarantine",
         "_crashes_by_lifetime",
-        "_hold_seconds",
+        "_initial_seconds",
         "_quarantine_by_content",
         "_lifetimes_by_content",
     )
 
-    def __init__(self, crashes: int, hold_seconds: float) -> None:
-        self._crashes = crashes
-        self._hold_seconds = hold_seconds
+    def __init__(self, crashes_to_quarantine: int, initial_seconds: float) -> None:
+        self._crashes_to_quarantine = crashes_to_quarantine
+        self._initial_seconds = initial_seconds
         self._crashes_by_lifetime: dict[str, _Crash] = {}
         self._lifetimes_by_content: defaultdict[str, set[str]] = defaultdict(set)
         self._quarantine_by_content: dict[str, _QuarantineEntry] = {}
@@ -141,7 +141,7 @@
         """
         crash = self._crashes_by_lifetime.get(lifetime)
         if crash is None:
-            self._remove_old(now)
+            self._remove_expired(now)
             crash = self._crashes_by_lifetime[lifetime] = _Crash(now)
         full = len(crash.stages_by_content) >= MAX_CONTENTS_PER_CRASH
         if full and content not in crash.stages_by_content:
@@ -226,7 +226,7 @@
         ):
             return False
         before = self._quarantine_by_content.get(content)
-        seconds = self._hold_seconds if before is None else 2 * before.seconds
+        seconds = self._initial_seconds if before is None else 2 * before.seconds
         self._start_quarantine(content, min(seconds, MAX_QUARANTINE_SECONDS), now)
         return True
 
@@ -238,24 +238,24 @@
         ):
             del self._quarantine_by_content[next(iter(self._quarantine_by_content))]
         # Word from another router names what is left of a quarantine, not its whole length.
-        length = max(seconds, self._hold_seconds)
+        length = max(seconds, self._initial_seconds)
         self._quarantine_by_content[content] = _QuarantineEntry(now + seconds, length)
 
     def _min_crashes(self, content: str, now: float) -> int:
         """Return how many crashes are enough at least; one after an earlier quarantine."""
         entry = self._quarantine_by_content.get(content)
-        return self._crashes if entry is None or entry.has_lapsed(now) else 1
+        return self._crashes_to_quarantine if entry is None or entry.has_lapsed(now) else 1
 
     def _required_crashes(self, content: str, now: float) -> int:
         """Return how many crashes are enough, more while upstreams crash without the content."""
         least = self._min_crashes(content, now)
-        if least < self._crashes:
+        if least < self._crashes_to_quarantine:
             return least
         without = sum(
             now - crash.crashed_at < RECENT_CRASH_SECONDS and content not in crash.stages_by_content
             for crash in self._crashes_by_lifetime.values()
         )
-        return least + min(MAX_EXTRA_CRASHES, without // self._crashes)
+        return least + min(MAX_EXTRA_CRASHES, without // self._crashes_to_quarantine)
 
     def _counted_crashes(self, content: str, now: float) -> list[str]:
         """Return the crashes of content that count: an earlier quarantine was for those before."""
@@ -268,7 +268,7 @@
             key for key in lifetimes if self._crashes_by_lifetime[key].crashed_at >= since
         )
 
-    def _remove_old(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         """Drop what is too old, and the oldest crash where there is no room for another."""
         oldest_first = list(self._crashes_by_lifetime.items())
         surplus = len(oldest_first) - MAX_CRASHES + 1
--- a/packages/quinceferry-core/src/quinceferry_core/queues.py
+++ b/packages/quinceferry-core/src/quinceferry_core/queues.py
@@ -1,6 +1,6 @@
 """Bounded queue of requests, by priority, fair between workspaces, earliest deadline first.
 
-Higher priorities go first, but one departure in ``LOWER_CLASS_PERIOD`` goes to the lowest waiting
+Higher priorities go first, but one departure in ``LOWEST_CLASS_PERIOD`` goes to the lowest waiting
 class, so that none starves. Within a class the workspaces share by tokens (start-time fair
 queueing); within a workspace the earliest deadline goes first.
 """
@@ -12,7 +12,7 @@
 
 from quinceferry_core.models import Priority, WorkspaceId
 
-LOWER_CLASS_PERIOD = 16
+LOWEST_CLASS_PERIOD = 16
 """One in this many departures goes to the lowest waiting class."""
 
 T = TypeVar("T")
@@ -59,7 +59,7 @@
         self._count_by_class = {priority: 0 for priority in Priority}
         self._count = 0
         self._sequence = 0
-        self._departures = 0
+        self._dispatches = 0
 
     def __len__(self) -> int:
         """Return how many requests wait."""
@@ -113,11 +113,11 @@
         """Remove a request that leaves for an upstream, and charge its workspace's share."""
         queues = self._queues_by_class[waiting.priority]
         queue = queues[waiting.workspace]
-        least_tag = min(queue.finish_tag for queue in queues.values())
+        min_tag = min(queue.finish_tag for queue in queues.values())
         virtual_time = self._virtual_time_by_class[waiting.priority]
-        self._virtual_time_by_class[waiting.priority] = max(virtual_time, least_tag)
+        self._virtual_time_by_class[waiting.priority] = max(virtual_time, min_tag)
         queue.finish_tag += max(1, waiting.tokens)
-        self._departures += 1
+        self._dispatches += 1
         self.remove(waiting)
 
     def evict_below(self, priority: Priority) -> QueueEntry[T] | None:
@@ -164,7 +164,7 @@
     def _class_order(self) -> list[Priority]:
         """Return the waiting classes, the highest first but for the lowest one's turn."""
         classes = [priority for priority in sorted(Priority) if self._queues_by_class[priority]]
-        if classes and (self._departures + 1) % LOWER_CLASS_PERIOD == 0:
+        if classes and (self._dispatches + 1) % LOWEST_CLASS_PERIOD == 0:
             return [classes[-1], *classes[:-1]]
         return classes
 
--- a/packages/quinceferry-core/src/quinceferry_core/routing.py
+++ b/packages/quinceferry-core/src/quinceferry_core/routing.py
@@ -169,7 +169,11 @@
 
 
 def available_slots(
-    load: CorrectedLoad, usable_slots: float, own: int, routers: int, growth_since_report: float
+    load: CorrectedLoad,
+    usable_slots: float,
+    own_requests: int,
+    routers: int,
+    growth_since_report: float,
 ) -> float:
     """Return how many requests this router may still send to an upstream.
 
@@ -178,11 +182,11 @@
     it does not starve behind quicker ones.
 
     :param usable_slots: slots that the request's class may fill, more or fewer than there are.
-    :param own: requests that this router has there.
+    :param own_requests: requests that this router has there.
     :param growth_since_report: requests that others are expected to have added.
     """
     free = usable_slots - load.occupied - growth_since_report
-    unused_share = usable_slots / max(1, routers) - own
+    unused_share = usable_slots / max(1, routers) - own_requests
     if unused_share <= 0:
         return free - MAX_YIELDED_SHARE * load.slots * (routers > 1)
     return max(free, unused_share)
@@ -209,7 +213,7 @@
     slot_wait_seconds: float = 0.35
     batch_delay_weight: float = 3.0
     urgent_batch_delay_weight: float = 0.0
-    copy_penalty_seconds: float = 0.1
+    home_rank_penalty_seconds: float = 0.1
     failing_penalty_seconds: float = 10.0
 
     def cost_seconds(
@@ -226,7 +230,7 @@
         weight = self.urgent_batch_delay_weight if urgent else self.batch_delay_weight
         seconds += uncached / self.prefill_rate * (1.0 + weight * busy)
         if not candidate.cached_tokens:
-            seconds += self.copy_penalty_seconds * candidate.home_rank
+            seconds += self.home_rank_penalty_seconds * candidate.home_rank
         seconds += self.slot_wait_seconds * expected_waiting_requests(load)
         if not candidate.same_zone:
             seconds += self.other_zone_penalty_seconds
