--- a/packages/quinceferry-core/src/quinceferry_core/adapters.py
+++ b/packages/quinceferry-core/src/quinceferry_core/adapters.py
@@ -1,4 +1,4 @@
-"""Narrow interfaces to everything outside the decision logic."""
+"""Interfaces of the decision logic to the store, the platform, upstreams and peers."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -18,12 +18,12 @@
 from quinceferry_core.outcomes import AnswerEvent, Outcome
 
 ABSENT_VERSION = 0
-"""Expected version of a key that must not exist."""
+"""Expected version of a key that must not exist yet."""
 
 
 @dataclass(slots=True, frozen=True)
 class KvEntry:
-    """One key with its value; the version is positive and grows with each write of the key."""
+    """A key with its value; the version is positive and increases with every write of the key."""
 
     key: str
     value: bytes
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True, frozen=True)
 class KvEvent:
-    """A change seen by a watch; ``entry`` is None when the key was deleted or its lease expired."""
+    """A change reported by a watch.
+
+    ``entry`` is None when the key was deleted or its lease expired.
+    """
 
     key: str
     entry: KvEntry | None
@@ -40,7 +43,10 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchBatch:
-    """Changes since a cursor; ``reset`` means changes were lost and the prefix must be read."""
+    """Changes since a cursor.
+
+    With ``reset``, changes were lost and the prefix must be read again.
+    """
 
     events: tuple[KvEvent, ...]
     cursor: int
@@ -48,16 +54,16 @@
 
 
 class KvStore(Protocol):
-    """The platform's key-value service.
+    """The platform's key-value store.
 
-    Every method raises :class:`KvUnavailableError` when no answer came in time.
+    Every method raises :class:`KvUnavailableError` when no answer arrives in time.
     """
 
     async def get(self, key: str) -> KvEntry | None:
         """Read one key."""
 
     async def list(self, prefix: str) -> list[KvEntry]:
-        """Read all keys that begin with the prefix, in key order."""
+        """Read all keys with the prefix, in key order."""
 
     async def put_if(
         self, key: str, value: bytes, expected_version: int, lease: str = ""
@@ -65,7 +71,7 @@
         """Write a key by compare-and-swap.
 
         :param expected_version: the version last read, or ``ABSENT_VERSION``.
-        :param lease: the key is deleted when this lease ends; empty for none.
+        :param lease: lease with which the key expires; empty for none.
         :raises KvConflictError: the key has another version; nothing was written.
         """
 
@@ -81,27 +87,27 @@
     async def keep_alive(self, lease: str) -> None:
         """Renew a lease.
 
-        :raises LeaseLostError: it has ended.
+        :raises LeaseLostError: the lease has expired or was revoked.
         """
 
     async def revoke_lease(self, lease: str) -> None:
-        """End a lease; its keys are deleted."""
+        """Revoke a lease and delete its keys."""
 
     async def watch(self, prefix: str, cursor: int, timeout_seconds: float) -> WatchBatch:
-        """Wait for changes below a prefix.
+        """Wait for changes of the keys with a prefix.
 
-        :param cursor: cursor of the previous batch; -1 returns the current cursor at once.
-        :return: the changes, or an empty batch at the timeout.
+        :param cursor: cursor of the previous batch; -1 returns the current cursor immediately.
+        :return: the changes, or an empty batch when the wait times out.
         """
 
 
 class VmList(Protocol):
-    """The platform's list of VMs, which lags."""
+    """The platform's list of VMs, which lags behind their actual state."""
 
     async def list(self) -> list[VmRecord]:
         """Read the list.
 
-        :raises PlatformUnavailableError: no answer came.
+        :raises PlatformUnavailableError: the platform did not answer.
         """
 
 
@@ -109,10 +115,10 @@
 class Dispatch:
     """One attempt to run a request at an upstream.
 
-    ``token_cap`` bounds prompt and output together. ``attempt`` distinguishes connections, so that
-    late events of an earlier one can be dropped. ``offset`` asks the upstream to resume the stream
-    after that many output tokens, and ``run_attempt`` names the attempt that began the stream to
-    be resumed; None accepts the latest run of the request.
+    ``token_cap`` limits prompt and output tokens together. ``attempt`` distinguishes connections,
+    so that late events of an earlier one can be dropped. ``offset`` is the number of output tokens
+    after which the upstream resumes the stream, and ``run_attempt`` the attempt that began the
+    stream to resume; None accepts the latest run of the request.
     """
 
     request: CallerRequest
@@ -126,13 +132,13 @@
 
     @property
     def original_attempt(self) -> int:
-        """Return the number of the attempt that began the run, which its upstream knows."""
+        """Return the attempt that began the run, by which the upstream identifies it."""
         return self.attempt if self.run_attempt is None else self.run_attempt
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """Load of one engine, as it reported it some time ago."""
+    """Load of one engine at the time of its report, which lags."""
 
     running: int
     waiting: int
@@ -144,7 +150,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheEvent:
-    """A prompt prefix entered or left an engine's cache; ``sequence`` shows gaps."""
+    """A prompt prefix was added to or evicted from an engine's cache.
+
+    A gap in ``sequence`` shows that events were lost.
+    """
 
     sequence: int
     prefix_hash: int
@@ -152,7 +161,7 @@
 
 
 class OrderKind(Enum):
-    """What an order asks of an engine."""
+    """Kind of an order to an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -161,7 +170,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineOrder:
-    """An order to an engine; ``sequence`` grows with each order for the same engine."""
+    """An order to an engine; ``sequence`` increases with every order to the same engine."""
 
     kind: OrderKind
     model: ModelRef
@@ -173,17 +182,17 @@
 class UpstreamClient(Protocol):
     """Connections to model engines and plain services.
 
-    Errors are subclasses of :class:`UpstreamError`, chosen by what is known of the run.
+    Errors are subclasses of :class:`UpstreamError`, which distinguish whether the request ran.
     """
 
     def run(self, dispatch: Dispatch) -> AsyncIterator[AnswerEvent]:
-        """Send a request and return its chunks, ending with ``Finished``."""
+        """Send a request and return the chunks of its answer, ending with ``Finished``."""
 
     def resume(self, dispatch: Dispatch) -> AsyncIterator[AnswerEvent]:
-        """Continue a stream of the same request on a new connection, from ``dispatch.offset``.
+        """Resume a stream of the same request on a new connection, from ``dispatch.offset``.
 
-        :raises UpstreamUnknownRequestError: the upstream never began it, forgot it, or has another
-            attempt's run of the request.
+        :raises UpstreamUnknownRequestError: the upstream never began the request, no longer holds
+            it, or holds a run begun by another attempt.
         """
 
     async def cancel(
@@ -194,21 +203,21 @@
         incarnation: IncarnationId | None = None,
         attempt: int | None = None,
     ) -> int | None:
-        """Stop the latest run of a request; a repeat returns the same use.
-
-        :param workspace: owner of the request; two workspaces may use the same identifier, and
-            without it such a request counts as unknown.
-        :param incarnation: the router that sent it; None stops a run of any router.
-        :param attempt: number of the dispatch that began the run; a later one of the same request
-            may still be on its way, so that another run's use says nothing about it.
-        :return: the tokens it used in all, or None if the upstream does not know it.
+        """Stop the latest run of a request; a repeated call returns the same usage.
+
+        :param workspace: owner of the request. Two workspaces may use the same identifier; without
+            the owner, such a request counts as unknown.
+        :param incarnation: the router that sent the request; None matches any router.
+        :param attempt: the attempt that began the run; None matches any. A later attempt of the
+            same request may still be in transit, and the usage of another run does not apply to it.
+        :return: the total tokens used, or None if the upstream does not know the request.
         """
 
     async def load(self, upstream: UpstreamSpec) -> LoadReport:
         """Read the load report."""
 
     async def cache_events(self, upstream: UpstreamSpec, after: int) -> tuple[CacheEvent, ...]:
-        """Read cache events with a sequence greater than ``after``."""
+        """Read the cache events with a sequence number greater than ``after``."""
 
     async def order(self, upstream: UpstreamSpec, order: EngineOrder) -> None:
         """Give an order.
@@ -219,7 +228,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RecallReply:
-    """Tokens a peer returned to the budget record and those it still holds."""
+    """Tokens that a peer returned to the budget record, and tokens that it still holds."""
 
     returned: int
     still_held: int
@@ -229,18 +238,18 @@
     """Calls to other routers; each raises :class:`PeerUnavailableError` when it fails."""
 
     async def hold(self, address: str, request: HoldRequest) -> HoldReply:
-        """Have a peer hold copies of journal entries."""
+        """Request a peer to hold copies of journal entries."""
 
     async def collect(self, address: str, request: CollectRequest) -> CollectReply:
-        """Read the copies that a peer holds of a closed incarnation, and have it take no more."""
+        """Read a peer's copies for a closed incarnation, and seal them against additions."""
 
     def forward(self, address: str, request: CallerRequest) -> AsyncIterator[AnswerEvent]:
-        """Have a peer run a request and return its answer."""
+        """Forward a request to a peer and return the events of its answer."""
 
     async def ask_outcome(
         self, address: str, workspace: WorkspaceId, request_id: RequestId
     ) -> Outcome | None:
-        """Ask what became of a request; None when the peer has never seen it."""
+        """Request the outcome of a request; None when the peer does not know it."""
 
     async def recall(self, address: str, workspace: WorkspaceId, wanted: int) -> RecallReply:
-        """Ask a peer to return its unused tokens to the budget record."""
+        """Request a peer to return unused tokens to the budget record."""
--- a/packages/quinceferry-core/src/quinceferry_core/exceptions.py
+++ b/packages/quinceferry-core/src/quinceferry_core/exceptions.py
@@ -1,12 +1,12 @@
-"""Exception tree of quinceferry; each error carries the step and the peer where it arose."""
+"""Exceptions of quinceferry; each has the step and the peer where the error occurred."""
 
 
 class QuinceferryError(Exception):
-    """Base class of all errors raised on purpose.
+    """Base class of all errors that quinceferry raises.
 
-    :param detail: what went wrong, for people.
+    :param detail: human-readable description of the error.
     :param step: the operation in progress, such as ``kv.put_if``.
-    :param peer: address or identifier of the other side, if any.
+    :param peer: address or identifier of the remote process, if any.
     """
 
     def __init__(self, detail: str = "", *, step: str = "", peer: str = "") -> None:
@@ -22,15 +22,15 @@
 
 
 class KvError(QuinceferryError):
-    """The key-value service did not do what was asked."""
+    """A call to the key-value store failed."""
 
 
 class KvUnavailableError(KvError):
-    """No answer came; a write may or may not have taken effect."""
+    """The key-value store did not answer; a write may or may not have taken effect."""
 
 
 class KvConflictError(KvError):
-    """The expected version does not match; nothing was written."""
+    """The key does not have the expected version; nothing was written."""
 
 
 class LeaseLostError(KvError):
@@ -42,36 +42,36 @@
 
 
 class PeerUnavailableError(QuinceferryError):
-    """Another router could not be reached, or its connection broke."""
+    """Another router could not be reached, or the connection to it was interrupted."""
 
 
 class PeerNotBegunError(PeerUnavailableError):
-    """The other router never received the call, or refused it before it began."""
+    """The other router never received the call, or rejected it before starting it."""
 
 
 class UpstreamError(QuinceferryError):
-    """An upstream failed."""
+    """A call to an upstream failed."""
 
 
 class UpstreamRefusedError(UpstreamError):
-    """The upstream answered that it did not begin the request."""
+    """The upstream rejected the request before starting it."""
 
 
 class UpstreamNotSentError(UpstreamError):
-    """No byte of the request left this process."""
+    """No byte of the request was sent."""
 
 
 class UpstreamLostError(UpstreamError):
-    """The connection broke or went silent after bytes may have left."""
+    """The connection was interrupted or timed out after bytes may have been sent."""
 
 
 class UpstreamUnknownRequestError(UpstreamError):
-    """The upstream holds no stream of the named request."""
+    """The upstream has no stream of the named request."""
 
 
 class FencedError(QuinceferryError):
-    """This incarnation has been closed by another router."""
+    """Another router has closed this incarnation."""
 
 
 class SettingsError(QuinceferryError):
-    """The settings file holds one or more faults."""
+    """The settings file has one or more errors."""
--- a/packages/quinceferry-core/src/quinceferry_core/models.py
+++ b/packages/quinceferry-core/src/quinceferry_core/models.py
@@ -1,4 +1,4 @@
-"""Identifiers, configuration objects and requests shared by all packages."""
+"""Identifiers, configuration objects and requests used by all packages."""
 
 from dataclasses import dataclass, field
 from datetime import datetime
@@ -22,7 +22,7 @@
 
 
 class RequestKind(Enum):
-    """Protocol shape of a request."""
+    """Protocol of a request."""
 
     CHAT = "chat"
     COMPLETION = "completion"
@@ -30,7 +30,7 @@
 
 
 class UpstreamKind(Enum):
-    """Whether an upstream is a model engine or a plain HTTP service."""
+    """Kind of an upstream: a model engine or a plain HTTP service."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ModelRef:
-    """A model with an optional adapter and version, as a caller names it.
+    """Reference to a model with an optional adapter and version, as a caller names it.
 
     Its text form is ``model[:adapter][@version]``.
     """
@@ -62,10 +62,9 @@
 
     @classmethod
     def parse(cls, text: str) -> "ModelRef":
-        """Read the text form.
+        """Parse the text form.
 
         :param text: ``model[:adapter][@version]``.
-        :return: the reference.
         """
         rest, _, version = text.partition("@")
         model, _, adapter = rest.partition(":")
@@ -98,10 +97,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ModelSpec:
-    """A model the fleet serves.
+    """A model that the fleet serves.
 
-    ``min_bytes_per_token`` bounds the prompt's tokens from above: no token of this model's
-    tokenizer covers fewer UTF-8 bytes on average over any prompt. One is safe for every byte-level
+    ``min_bytes_per_token`` gives an upper limit of a prompt's tokens: over any prompt, the model's
+    tokens have at least this many UTF-8 bytes on average. One is safe for every byte-level
     tokenizer.
     """
 
@@ -113,9 +112,9 @@
 
 @dataclass(slots=True, frozen=True)
 class UpstreamSpec:
-    """A model engine or plain service that requests are routed to.
+    """A model engine or plain service to which requests are routed.
 
-    ``role`` is the role that an engine is ordered to take; empty leaves it as it is.
+    ``role`` is the role that an engine is ordered to take; empty leaves its role unchanged.
     """
 
     id: UpstreamId
@@ -140,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VmRecord:
-    """One line of the platform's VM list."""
+    """An entry of the platform's VM list."""
 
     vm: VmId
     zone: str
@@ -149,7 +148,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ticket:
-    """Names the only incarnation that may run a non-idempotent request.
+    """Names the home router, the only incarnation that may run a non-idempotent request.
 
     ``journaled`` is true when the home records every such request in its journal before dispatch.
     """
@@ -165,9 +164,9 @@
 class CallerRequest:
     """One request of a caller, after authentication and validation.
 
-    ``body`` is the caller's JSON document or service payload, passed on unchanged but for the
-    output cap. ``prompt`` is the text that the model reads. ``path``, ``method`` and
-    ``content_type`` are used by plain services only.
+    ``body`` is the caller's JSON document or service payload, forwarded unchanged except for the
+    output token limit. ``prompt`` is the prompt text for the model. ``path``, ``method`` and
+    ``content_type`` are used for plain services only.
     """
 
     workspace: WorkspaceId
@@ -190,12 +189,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """Tokens of one run, as the upstream counted them."""
+    """Tokens of one run, as counted by the upstream."""
 
     prompt_tokens: int
     output_tokens: int
 
     @property
     def total(self) -> int:
-        """Return prompt and output tokens together."""
+        """Return the sum of prompt and output tokens."""
         return self.prompt_tokens + self.output_tokens
--- a/packages/quinceferry-core/src/quinceferry_core/operator_messages.py
+++ b/packages/quinceferry-core/src/quinceferry_core/operator_messages.py
@@ -1,7 +1,7 @@
-"""Requests of the operator API, shared by the server and by its client.
+"""Requests of the operator API, shared by its server and its client.
 
 Each call is ``POST /operator/v1/<MessageName>`` with the message as its JSON body. Unknown fields
-are refused, so that a misspelt one is not silently ignored.
+are rejected, so that a misspelled field is not silently ignored.
 """
 
 from typing import Annotated, Literal
@@ -19,13 +19,13 @@
 )
 
 OPERATOR_PATH = "/operator/v1"
-"""Path under which every operator call is served."""
+"""Path prefix of all operator calls."""
 
 OperationName = Annotated[
     str,
     Meta(
         pattern="^[A-Za-z0-9_.-]{1,64}$",
-        description="Chosen by the operator; a repeat with the same one gives the first answer.",
+        description="Chosen by the operator; repeating a call with it returns the first answer.",
     ),
 ]
 Revision = Annotated[int, Meta(ge=0, description="Revision of the configuration.")]
@@ -50,11 +50,11 @@
 
 
 class Message(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of all requests."""
+    """Base class of all requests."""
 
 
 class Change(Message, frozen=True, kw_only=True):
-    """Base of all requests that change something."""
+    """Base class of all requests that change something."""
 
     operation_id: OperationName
     expected_revision: Revision
@@ -63,7 +63,7 @@
 class CreateWorkspace(Change, frozen=True, kw_only=True):
     """Create a workspace; its budget is empty until a top-up.
 
-    Limits hold over the whole fleet; zero means unlimited.
+    Limits apply to the whole fleet; zero means unlimited.
     """
 
     workspace: Name
@@ -89,7 +89,7 @@
 
 
 class RotateWorkspaceKey(Change, frozen=True, kw_only=True):
-    """Replace the key of a workspace; the newest previous one may stay valid beside it."""
+    """Replace the key of a workspace; the newest previous key may stay valid."""
 
     workspace: Name
     key_hash: KeyHash
@@ -97,7 +97,7 @@
 
 
 class RegisterModel(Change, frozen=True, kw_only=True):
-    """Add a model, or replace its description."""
+    """Add a model or replace its specification."""
 
     name: Annotated[str, Meta(pattern="^[A-Za-z0-9_./-]{1,128}$")]
     min_bytes_per_token: Annotated[float, Meta(gt=0)] = 1.0
@@ -106,24 +106,24 @@
 
 
 class RegisterUpstream(Change, frozen=True, kw_only=True):
-    """Add an upstream, or replace its description."""
+    """Add an upstream or replace its specification."""
 
     upstream: Name
     address: Annotated[str, Meta(pattern="^https?://[^/]+$")]
     zone: Name
     checks_fencing: Annotated[
-        bool, Meta(description="Whether the upstream refuses an order with an old fencing number.")
+        bool, Meta(description="Whether the upstream rejects an order with an old fencing number.")
     ]
     kind: Literal["engine", "service"] = "engine"
     vm: str = ""
     service: str = ""
     role: Annotated[
-        str, Meta(description="Role that the engine is ordered to take; empty leaves it as it is.")
+        str, Meta(description="Role that the engine is ordered to take; empty leaves it unchanged.")
     ] = ""
 
 
 class RemoveUpstream(Change, frozen=True, kw_only=True):
-    """Remove an upstream; requests in progress there go on."""
+    """Remove an upstream; requests in progress there continue."""
 
     upstream: Name
 
@@ -131,8 +131,8 @@
 class TopUp(Change, frozen=True, kw_only=True):
     """Add prepaid tokens to a workspace.
 
-    Top-ups commute, so the expected revision is a minimum here: a router that has not applied it
-    yet refuses.
+    Top-ups commute, so that the expected revision is a minimum: a router that has not applied it
+    yet rejects the call.
     """
 
     workspace: Name
@@ -140,16 +140,16 @@
 
 
 class Drain(Change, frozen=True, kw_only=True):
-    """Stop a router gracefully; the expected revision is a minimum, as in a top-up."""
+    """Stop a router gracefully; the expected revision is a minimum, as for a top-up."""
 
     router: Annotated[str, Meta(min_length=1, description="Incarnation of the router.")]
 
 
 class DeclareGone(Change, frozen=True, kw_only=True):
-    """Declare that a router's process has ended, where nothing else can prove it.
+    """Declare that a router's process has terminated, where nothing else can prove it.
 
-    The word must be true: the tokens that the router held are freed by it. The expected revision is
-    a minimum, as in a top-up; a repeat changes nothing.
+    The declaration must be true, because it frees the tokens that the router held. The expected
+    revision is a minimum, as for a top-up; a repeated declaration changes nothing.
     """
 
     router: Annotated[str, Meta(min_length=1, description="Incarnation of the router.")]
@@ -198,4 +198,4 @@
     Drain: DrainReply,
     DeclareGone: DeclareGoneReply,
 }
-"""Type of the answer to each call."""
+"""Type of the reply to each call."""
--- a/packages/quinceferry-core/src/quinceferry_core/operator_replies.py
+++ b/packages/quinceferry-core/src/quinceferry_core/operator_replies.py
@@ -1,4 +1,4 @@
-"""Answers and failures of the operator API, shared by the server and by its client."""
+"""Replies and failures of the operator API, shared by its server and its client."""
 
 from typing import Literal
 
@@ -8,7 +8,7 @@
 
 
 class AwaitedRouterReply(Struct, frozen=True, kw_only=True):
-    """A router that may still serve an older revision than a change, and why it is awaited."""
+    """A router that may still serve a revision older than a change, with the reason."""
 
     router: str
     vm: str
@@ -19,7 +19,7 @@
 class ChangeReply(Struct, frozen=True, kw_only=True):
     """State of a configuration change.
 
-    ``accepted`` means that every router which may serve has applied it; until then
+    ``accepted`` means that every router that may serve has applied it; until then,
     ``awaited_routers`` lists those that have not.
     """
 
@@ -33,7 +33,7 @@
     """Budget of a workspace, in tokens.
 
     ``granted`` = ``settled`` + ``withheld`` + ``held_by_routers`` + ``free``. Routers spend from
-    what they hold. Withheld tokens count as spent until it is proven what became of them.
+    what they hold. Withheld tokens count as spent until it is known whether they were.
     """
 
     workspace: str
@@ -45,9 +45,10 @@
 
 
 class BillReply(Struct, frozen=True, kw_only=True):
-    """Bill of one request; ``tokens`` counts prompt and output together.
+    """Bill of one request; ``tokens`` is the sum of prompt and output tokens.
 
-    ``estimated`` when no upstream could tell the use, ``partial`` when the answer was cut.
+    ``estimated`` is set when no upstream reported the usage, ``partial`` when the answer was
+    incomplete.
     """
 
     request_id: str
@@ -66,7 +67,7 @@
 
 
 class RouterReply(Struct, frozen=True, kw_only=True):
-    """One router of the fleet, by its heartbeat record.
+    """A router of the fleet, according to its heartbeat record.
 
     ``stop_step`` and ``open_requests`` show the progress of a graceful stop.
     """
@@ -81,13 +82,13 @@
 
 
 class ListRoutersReply(Struct, frozen=True, kw_only=True):
-    """Routers of the fleet, by incarnation."""
+    """Routers of the fleet, ordered by incarnation."""
 
     routers: list[RouterReply] = []
 
 
 class UpstreamReply(Struct, frozen=True, kw_only=True):
-    """What the answering router knows of one upstream."""
+    """State of an upstream, as known to the answering router."""
 
     upstream: str
     zone: str
@@ -101,7 +102,7 @@
 class StatusReply(Struct, frozen=True, kw_only=True):
     """State of the answering router.
 
-    ``revision`` is the one it applies; ``accepted_revision`` is in force everywhere.
+    ``revision`` is the revision that it has applied; ``accepted_revision`` is applied everywhere.
     """
 
     router: str
@@ -120,7 +121,7 @@
 
 
 class DrainReply(Struct, frozen=True, kw_only=True):
-    """Answer to a drain; the router leaves the list when it has ended."""
+    """Reply to a drain; the router is removed from the list once it has stopped."""
 
     operation_id: str
     router: str
@@ -128,7 +129,7 @@
 
 
 class DeclareGoneReply(Struct, frozen=True, kw_only=True):
-    """Answer to a declaration; what the router held is freed from now on."""
+    """Reply to a declaration; the tokens that the router held can be freed from now on."""
 
     operation_id: str
     router: str
@@ -136,11 +137,11 @@
 
 
 class OperatorFailure(Struct, frozen=True, kw_only=True):
-    """Why a call was refused or failed.
+    """Why a call was rejected or failed.
 
-    ``code`` is stable and meant for programs. ``revision`` is the current one after a conflict, and
-    ``changed_by`` the operations that came between. ``retry_after_seconds`` is zero when a retry
-    cannot help.
+    ``code`` is stable and intended for programs. After a conflict, ``revision`` is the current
+    revision and ``changed_by`` lists the operations since the expected one.
+    ``retry_after_seconds`` is zero when a retry cannot succeed.
     """
 
     code: str
--- a/packages/quinceferry-core/src/quinceferry_core/outcomes.py
+++ b/packages/quinceferry-core/src/quinceferry_core/outcomes.py
@@ -8,7 +8,7 @@
 
 
 class NotRunProof(Enum):
-    """Why a request is known not to have run."""
+    """Proof that a request has not run."""
 
     NEVER_SENT = "never_sent"
     REFUSED_BY_UPSTREAM = "refused_by_upstream"
@@ -24,21 +24,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """An upstream ran the request to its end."""
+    """An upstream completed the request."""
 
     usage: Usage
 
 
 @dataclass(slots=True, frozen=True)
 class Unknown:
-    """The request may or may not have run; it is never run again."""
+    """The request may or may not have run; it is not run again."""
 
 
 Outcome = NotRun | Run | Unknown
 
 
 class RefusalReason(Enum):
-    """Reason given with a refusal or failure."""
+    """Reason of a refusal or failure."""
 
     BUDGET_SPENT = "budget_spent"
     BUDGET_UNREACHABLE = "budget_unreachable"
@@ -69,10 +69,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Chunk:
-    """A piece of the answer.
+    """A part of the answer.
 
-    ``offset`` counts the output tokens before this piece; ``tokens`` counts those in it. For a
-    plain service, ``text`` is empty and ``data`` carries the bytes.
+    ``offset`` counts the output tokens before this chunk; ``tokens`` counts those in it. For a
+    plain service, ``text`` is empty and ``data`` contains the bytes.
     """
 
     offset: int
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finished:
-    """The answer is whole."""
+    """The answer is complete."""
 
     usage: Usage
     reason: str = "stop"
@@ -93,10 +93,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """The request was refused or broke off.
+    """The request was refused or its answer was interrupted.
 
-    ``step`` and ``peer`` say where the error arose. ``retry_after_seconds`` is zero when a retry
-    cannot help.
+    ``step`` and ``peer`` identify where the error occurred. ``retry_after_seconds`` is zero when a
+    retry cannot succeed.
     """
 
     reason: RefusalReason
@@ -110,4 +110,4 @@
 AnswerEvent = Chunk | Finished | Failed
 
 AnswerStream = AsyncGenerator[AnswerEvent, None]
-"""Events of one answer; the last is a ``Finished`` or ``Failed``."""
+"""Events of one answer, ending with ``Finished`` or ``Failed``."""
--- a/packages/quinceferry-core/src/quinceferry_core/platform_messages.py
+++ b/packages/quinceferry-core/src/quinceferry_core/platform_messages.py
@@ -1,7 +1,7 @@
 """JSON messages of the platform's services: key-value store, VM list and weight store.
 
-Each call is a POST with one message as its body; values are base64 text. A refused call answers
-with a :class:`PlatformFault` and one of the status codes below.
+Each call is a POST with one message as its body; values are encoded in base64. The answer to a
+refused call is a :class:`PlatformFault` with one of the status codes below.
 """
 
 import msgspec
@@ -10,13 +10,13 @@
 from quinceferry_core.models import ModelRef, VmRecord
 
 KV_PATH = "/kv/v1"
-"""Path before the name of a key-value method, such as ``/kv/v1/put_if``."""
+"""Path prefix of the key-value methods, such as ``/kv/v1/put_if``."""
 
 VM_LIST_PATH = "/vms/v1/list"
 WEIGHT_FETCH_PATH = "/weights/v1/fetch"
 
 CLIENT_HEADER = "x-client-name"
-"""Header that names the client, for the service's own accounting."""
+"""Header with the client's name, for the service's accounting."""
 
 CONFLICT_STATUS = 409
 LEASE_LOST_STATUS = 410
@@ -26,7 +26,7 @@
 
 
 class KvGetRequest(msgspec.Struct, frozen=True):
-    """Reads one key."""
+    """Request to read one key."""
 
     key: str
 
@@ -38,19 +38,19 @@
 
 
 class KvListRequest(msgspec.Struct, frozen=True):
-    """Reads all keys below a prefix."""
+    """Request to read all keys with a prefix."""
 
     prefix: str
 
 
 class KvListReply(msgspec.Struct, frozen=True):
-    """Keys below a prefix, in key order."""
+    """Keys with a prefix, in key order."""
 
     entries: list[KvEntry]
 
 
 class KvPutRequest(msgspec.Struct, frozen=True):
-    """Writes a key by compare-and-swap; the reply is the new :class:`KvEntry`."""
+    """Request to write a key by compare-and-swap; the reply is the new :class:`KvEntry`."""
 
     key: str
     value: bytes
@@ -59,14 +59,14 @@
 
 
 class KvDeleteRequest(msgspec.Struct, frozen=True):
-    """Deletes a key by compare-and-swap; the reply is empty."""
+    """Request to delete a key by compare-and-swap; the reply is empty."""
 
     key: str
     expected_version: int
 
 
 class LeaseGrantRequest(msgspec.Struct, frozen=True):
-    """Creates a lease."""
+    """Request to create a lease."""
 
     ttl_seconds: float
 
@@ -78,13 +78,13 @@
 
 
 class LeaseRequest(msgspec.Struct, frozen=True):
-    """Renews or revokes a lease; the reply is empty."""
+    """Request to renew or revoke a lease; the reply is empty."""
 
     lease: str
 
 
 class KvWatchRequest(msgspec.Struct, frozen=True):
-    """Waits for changes below a prefix; the reply is a :class:`WatchBatch`."""
+    """Request to wait for changes of keys with a prefix; the reply is a :class:`WatchBatch`."""
 
     prefix: str
     cursor: int
@@ -92,19 +92,19 @@
 
 
 class VmListReply(msgspec.Struct, frozen=True):
-    """The VM list."""
+    """All entries of the VM list."""
 
     vms: list[VmRecord]
 
 
 class WeightFetchRequest(msgspec.Struct, frozen=True):
-    """Fetches a model's weights; the reply comes when they have arrived."""
+    """Request to fetch a model's weights; the reply is sent when they have arrived."""
 
     model: ModelRef
 
 
 class WeightFetchReply(msgspec.Struct, frozen=True):
-    """Size of the weights that arrived."""
+    """Size of the fetched weights."""
 
     size_bytes: int
 
--- a/packages/quinceferry-core/src/quinceferry_core/upstream_messages.py
+++ b/packages/quinceferry-core/src/quinceferry_core/upstream_messages.py
@@ -1,8 +1,8 @@
 """Headers and JSON messages between routers and upstreams.
 
-A completion is an OpenAI-style POST whose answer is a stream of server-sent events, one
-:class:`StreamChunk` each, ending with ``[DONE]``. Its headers name the request and bound its use.
-A stream is resumed by a POST with the same headers and the offset, without a body.
+A completion is a POST in the format of the OpenAI API. Its answer is a stream of server-sent
+events with one :class:`StreamChunk` each, ending with ``[DONE]``. The headers identify the request
+and limit its tokens. A POST with the same headers and the offset, without a body, resumes a stream.
 """
 
 import msgspec
@@ -23,24 +23,24 @@
 INCARNATION_HEADER = "x-router-incarnation"
 FENCING_HEADER = "x-fencing"
 ATTEMPT_HEADER = "x-attempt"
-"""Attempt that began the run; a resume that names another one finds no stream."""
+"""Attempt that began the run; a resume with another attempt finds no stream."""
 TOKEN_CAP_HEADER = "x-token-cap"
-"""Bound of prompt and output tokens together."""
+"""Maximum of prompt and output tokens together."""
 PRIORITY_HEADER = "x-priority"
 OFFSET_HEADER = "x-offset"
-"""Output tokens that the reader already has."""
+"""Number of output tokens that the client already has."""
 NOT_BEGUN_HEADER = "x-not-begun"
-"""Present on an answer that refuses a request before it began."""
+"""Present on an answer that rejects a request before starting it."""
 
 UNKNOWN_REQUEST_STATUS = 404
-"""Status of a resume that names no known stream."""
+"""Status of a resume of an unknown stream."""
 REFUSED_STATUS = 409
-"""Status of a request or order that was not begun."""
+"""Status of a rejected request or order."""
 
 DATA_PREFIX = b"data:"
-"""Start of a line of a server-sent event that carries a message."""
+"""Prefix of the lines of a server-sent event that contain a message."""
 DONE = b"[DONE]"
-"""Message that ends a stream."""
+"""Last message of a stream."""
 
 
 class StreamDelta(msgspec.Struct, frozen=True):
@@ -50,7 +50,7 @@
 
 
 class StreamChoice(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The only choice of a chunk; chats use ``delta``, completions use ``text``."""
+    """The only choice of a chunk; chats use ``delta``, completions ``text``."""
 
     text: str | None = None
     delta: StreamDelta | None = None
@@ -66,10 +66,10 @@
 
 
 class StreamChunk(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One message of a stream.
+    """A message of a stream.
 
-    ``offset`` counts the output tokens before this piece, ``tokens`` those in it. The last message
-    carries the usage and the finish reason.
+    ``offset`` counts the output tokens before this chunk, ``tokens`` those in it. The last message
+    has the usage and the finish reason.
     """
 
     choices: tuple[StreamChoice, ...] = ()
@@ -79,7 +79,7 @@
 
 
 class CancelRequest(msgspec.Struct, frozen=True):
-    """Stops the latest run of a request; None matches any workspace, router and attempt."""
+    """Stops the latest run of a request; None matches any workspace, router or attempt."""
 
     request_id: RequestId
     workspace: WorkspaceId | None = None
@@ -88,13 +88,13 @@
 
 
 class CancelReply(msgspec.Struct, frozen=True):
-    """Tokens a stopped run used in all; None when the upstream does not know it."""
+    """Total tokens that a stopped run used; None when the upstream does not know the request."""
 
     used_tokens: int | None
 
 
 class CacheEventsReply(msgspec.Struct, frozen=True):
-    """Cache events after the sequence asked for."""
+    """Cache events after the requested sequence number."""
 
     events: tuple[CacheEvent, ...]
 
