--- a/packages/quinceferry-core/src/quinceferry_core/__init__.py
+++ b/packages/quinceferry-core/src/quinceferry_core/__init__.py
@@ -1,1 +1,1 @@
-"""Decision logic of the router fleet; performs no I/O."""
+"""Decision logic of the router fleet, without I/O."""
--- a/packages/quinceferry-core/src/quinceferry_core/absences.py
+++ b/packages/quinceferry-core/src/quinceferry_core/absences.py
@@ -1,14 +1,15 @@
-"""Which entries of a list may still be relied on though the list lacks them.
-
-The load: the store goes away for some seconds and ends the leases of all entries. Its first lists
-after that hold few of them, though those that they stand for all live and register again within a
-lease time; without those that are missing, nearly every request of that time would be refused. A
-process that alone was cut off from the store sees a gap of the same length, and there what is
-missing has left.
-
-The list itself tells the two apart. An outage as long as a lease ends all of them, and whoever is
-back has registered anew; one entry that outlived it shows that the store was not away, so that what
-is missing has left. A shorter outage ends some leases and leaves others, and shows nothing.
+"""Retention of registered entries that are missing from a list after a store outage.
+
+A store outage of a few seconds expires the leases of all entries. The first lists read afterwards
+contain only a few of them, although all of the processes are alive and register again within one
+lease time. Without the missing entries, nearly every request in that time would be refused. A
+process that was partitioned from the store on its own observes a gap of the same length, but there
+the missing entries have really been removed.
+
+The list distinguishes the two cases. An outage as long as a lease expires all leases, and every
+process that is back has a new registration. An entry that kept its registration proves that the
+store was available, so that the missing entries have been removed. A shorter outage expires only
+some leases and proves nothing.
 """
 
 from collections.abc import Callable, Mapping
@@ -20,22 +21,22 @@
 
 @dataclass(slots=True)
 class _AbsentEntry(Generic[T]):
-    """An entry that is relied on though it is missing, until a time of the steady clock."""
+    """A missing entry that is still used, until a time of the monotonic clock."""
 
     item: T
     expires_at: float
 
 
 class AbsenceTracker(Generic[T]):
-    """Follows the readings of a list and tells which missing entries to keep.
+    """Tracks successive versions of a list and decides which missing entries to retain.
 
-    All times are those of the steady clock, in seconds.
+    All times are in seconds of the monotonic clock.
 
     :param lease_seconds: lifetime of a lease without renewal.
-    :param renewal_seconds: interval of renewals.
-    :param grace_seconds: how long after the store's return a missing entry is kept.
-    :param registration_of: returns what changes when an entry is written anew after its lease
-        ended; zero when that is not known.
+    :param renewal_seconds: interval of lease renewals.
+    :param grace_seconds: how long a missing entry is retained after the store recovers.
+    :param registration_of: returns a value that changes when an entry is registered again after
+        its lease expired; zero when it is not known.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         registration_of: Callable[[T], int],
     ) -> None:
         self._lease_seconds = lease_seconds
-        # The last renewal may be that old when an outage begins.
+        # The last renewal may be as old as one interval when an outage begins.
         self._min_outage_seconds = lease_seconds - renewal_seconds
         self._grace_seconds = grace_seconds
         self._registration_of = registration_of
@@ -58,30 +59,33 @@
 
     @property
     def next_expiry(self) -> float | None:
-        """Return when the first missing entry may no longer be kept, None when none is."""
+        """Return when the first retained entry expires; None when none is retained."""
         return min((absence.expires_at for absence in self._absent_by_id.values()), default=None)
 
     @property
     def is_failing(self) -> bool:
-        """Tell whether the last call to the store failed; no grace ends before it answers again."""
+        """Return whether the last call to the store failed.
+
+        No grace period ends before the store answers again.
+        """
         return self._last_failure_at is not None
 
     def record_failure(self, recovered_after: float) -> None:
-        """Note a call to the store that failed.
+        """Record a failed call to the store.
 
-        :param recovered_after: the store came back later than that: the begin of a short call,
-            however late its failure showed.
+        :param recovered_after: a time after which the store recovered at the earliest; for a short
+            call its start, even if the failure was detected later.
         """
         if self._first_failure_at is None:
             self._first_failure_at = recovered_after
         self._last_failure_at = recovered_after
 
     def apply_change(self, key: str, item: T | None, now: float, retained_until: float) -> None:
-        """Note a change of one entry that the store told.
+        """Apply a change of one entry that the store reported.
 
-        :param item: the entry as it was written; None when it was removed.
-        :param retained_until: until when a removed entry is kept, since its lease may have ended
-            in an outage that is just over; a time that is past when there was none.
+        :param item: the entry as written; None when it was removed.
+        :param retained_until: until when a removed entry is retained, since its lease may have
+            expired in an outage that has just ended; a past time when there was no outage.
         """
         self._last_answer_at = now
         removed = self._listed_by_id.pop(key, None)
@@ -94,9 +98,9 @@
     def apply_list(
         self, listed_by_id: Mapping[str, T], requested_at: float, now: float
     ) -> dict[str, T]:
-        """Note a whole list and return the entries that it lacks and that may be kept.
+        """Apply a complete list and return the missing entries that are retained.
 
-        :param requested_at: when its reading began.
+        :param requested_at: when the list was requested.
         """
         if self._leases_may_have_expired(listed_by_id, now):
             self._extend_grace_periods()
@@ -114,11 +118,11 @@
         absent_by_id: Mapping[str, tuple[T, float]],
         requested_at: float,
     ) -> None:
-        """Take over a list and its missing entries as another process concluded from its readings.
+        """Replace the state by a list and its missing entries as another process derived them.
 
-        :param absent_by_id: missing entries with the time until which each may be kept.
-        :param requested_at: when that process's reading began; calls of this one that failed before
-            show nothing any more.
+        :param absent_by_id: missing entries, each with the time until which it is retained.
+        :param requested_at: when that process requested the list; earlier failed calls of this
+            process no longer indicate an outage.
         """
         self._record_answer_to_other(requested_at)
         self._listed_by_id = dict(listed_by_id)
@@ -127,39 +131,40 @@
         }
 
     def confirm_list(self, requested_at: float) -> None:
-        """Note that another process read the same list at that time."""
+        """Record that another process requested the same list at that time and got an answer."""
         if self._last_answer_at is None or requested_at <= self._last_answer_at:
             return
         self._record_answer_to_other(requested_at)
 
     def _record_answer_to_other(self, requested_at: float) -> None:
-        """Note that the store answered another process; own failures before show nothing more."""
+        """Record that the store answered another process, and clear earlier own failures."""
         self._last_answer_at = requested_at
         if self._last_failure_at is not None and self._last_failure_at <= requested_at:
             self._first_failure_at = self._last_failure_at = None
 
     @property
     def absent_by_id(self) -> dict[str, tuple[T, float]]:
-        """Return the missing entries that are kept, with the time until which each may be."""
+        """Return the retained missing entries, each with the time until which it is retained."""
         return {key: (item.item, item.expires_at) for key, item in self._absent_by_id.items()}
 
     @property
     def listed_by_id(self) -> Mapping[str, T]:
-        """Return the entries that the store named last."""
+        """Return the entries of the latest list."""
         return self._listed_by_id
 
     def retained(self, now: float) -> dict[str, T]:
-        """Return the missing entries that may still be kept, and forget the others."""
+        """Return the missing entries that are still retained, and remove the expired ones."""
         self._absent_by_id = {
             key: absence for key, absence in self._absent_by_id.items() if absence.expires_at > now
         }
         return {key: absence.item for key, absence in self._absent_by_id.items()}
 
     def _leases_may_have_expired(self, listed_by_id: Mapping[str, T], now: float) -> bool:
-        """Tell whether the store may have ended leases since it last answered."""
-        # Failed calls alone don't show it: the own path to the store may have failed. While they
-        # were taken for an outage, 177 requests went to upstreams that had left, of which 161
-        # failed, in six simulated days with seven gateways cut off for 4 to 7 s; none goes now.
+        """Return whether leases may have expired in an outage since the last answer."""
+        # Failed calls alone do not prove an outage, since only the path from this process to the
+        # store may have failed. When they counted as an outage, 177 requests went to upstreams that
+        # had left (161 of them failed) in six simulated days with seven gateways partitioned for
+        # 4 to 7 s; with this rule none does.
         if self._last_answer_at is None or self._last_failure_at is None:
             return False
         if now - self._last_answer_at < self._min_outage_seconds:
@@ -173,19 +178,19 @@
         )
 
     def _kept_lease(self, before: T, now: T) -> bool:
-        """Tell whether an entry surely kept its lease from one reading to the next."""
+        """Return whether an entry provably kept its lease from one list to the next."""
         registration = self._registration_of(before)
         return bool(registration) and registration == self._registration_of(now)
 
     def _extend_grace_periods(self) -> None:
-        """Leave out of each grace the time that the store was away: nobody could register then."""
+        """Extend each grace period by the outage, in which no process could register."""
         for absence in self._absent_by_id.values():
             absence.expires_at += self._last_failure_at - self._last_answer_at
 
     def _start_grace_periods(self) -> None:
-        """Begin the grace of the entries that the store named last.
+        """Start the grace period of every entry of the latest list.
 
-        Each has one of its own, so that a later failure begins none anew.
+        Each entry has its own period, so that a later failure does not restart it.
         """
         expires_at = self._last_failure_at + self._grace_seconds
         for key, item in self._listed_by_id.items():
--- a/packages/quinceferry-core/src/quinceferry_core/addresses.py
+++ b/packages/quinceferry-core/src/quinceferry_core/addresses.py
@@ -1,8 +1,8 @@
-"""Choice of the routers that callers of a workspace are sent to.
+"""Selection of the home routers to which callers of a workspace are directed.
 
-Rendezvous hashing gathers a workspace on one router in each zone, so that its tokens, its limits
-and the prompt prefixes that its requests share stay together. A router that joins or leaves moves
-only the workspaces that it gains or had.
+Rendezvous hashing assigns a workspace to one router in each zone, so that its tokens, its limits
+and the shared prefixes of its prompts stay on the same routers. When a router joins or leaves, only
+the workspaces that it gains or loses move.
 """
 
 import hashlib
@@ -15,14 +15,13 @@
 def home_members(
     workspace: WorkspaceId, members: Iterable[Member], count: int
 ) -> tuple[Member, ...]:
-    """Return the routers on which a workspace is gathered, best first.
+    """Return the home routers of a workspace, highest ranked first.
 
-    The best router of each zone comes first; the others follow until ``count`` is reached. There
-    are more than ``count`` homes if there are more zones.
+    The highest ranked router of each zone comes first; others follow until ``count`` is reached.
+    There are more than ``count`` homes if there are more zones.
 
-    :param workspace: the workspace.
-    :param members: routers that take new requests.
-    :param count: how many homes a workspace has at least, if there are as many routers.
+    :param members: routers that accept new requests.
+    :param count: minimum number of homes, if there are as many routers.
     """
     ranked = sorted(members, key=lambda member: _score(workspace, member), reverse=True)
     best_by_zone: dict[str, Member] = {}
@@ -37,18 +36,21 @@
 def order_homes_for_caller(
     homes: Collection[Member], caller_zone: str, count: int
 ) -> tuple[Member, ...]:
-    """Return the routers to name in an answer, in the order in which a caller should try them.
+    """Return the routers of an address answer, in the order in which a caller should try them.
 
-    :param homes: as :func:`home_members` returned them.
+    :param homes: routers as returned by :func:`home_members`.
     :param caller_zone: zone of the caller; empty when unknown.
-    :param count: how many to name.
+    :param count: maximum number of routers.
     """
-    near = [member for member in homes if member.zone == caller_zone]
-    far = [member for member in homes if member.zone != caller_zone]
-    return tuple([*near[:1], *far, *near[1:]][:count])
+    same_zone = [member for member in homes if member.zone == caller_zone]
+    other_zones = [member for member in homes if member.zone != caller_zone]
+    return tuple([*same_zone[:1], *other_zones, *same_zone[1:]][:count])
 
 
 def _score(workspace: WorkspaceId, member: Member) -> bytes:
-    """Return the rank of a router for a workspace; it depends on the VM, not on the incarnation."""
+    """Return the rank of a router for a workspace.
+
+    It depends on the VM and not on the incarnation, so that a restart does not change it.
+    """
     text = f"{workspace}\0{member.vm}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
--- a/packages/quinceferry-core/src/quinceferry_core/backoffs.py
+++ b/packages/quinceferry-core/src/quinceferry_core/backoffs.py
@@ -1,4 +1,4 @@
-"""Delays between attempts that must go on until one succeeds."""
+"""Delays between attempts that are repeated until one succeeds."""
 
 from dataclasses import dataclass
 from random import Random
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """Exponential delays with jitter, so that routers which retry together spread out."""
+    """Exponential backoff with jitter, which spreads out routers that retry at the same time."""
 
     rng: Random
     initial_delay_seconds: float = INITIAL_DELAY_SECONDS
@@ -19,7 +19,7 @@
     attempts: int = 0
 
     def next_delay_seconds(self) -> float:
-        """Return how long to wait before the next try."""
+        """Return the delay before the next attempt, in seconds."""
         growth = GROWTH_FACTOR ** min(self.attempts, _MAX_EXPONENT)
         ceiling = min(self.max_delay_seconds, self.initial_delay_seconds * growth)
         self.attempts += 1
--- a/packages/quinceferry-core/src/quinceferry_core/bills.py
+++ b/packages/quinceferry-core/src/quinceferry_core/bills.py
@@ -1,4 +1,4 @@
-"""Bills and balances as operators see them."""
+"""Bills and balances for the operator API."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Bill:
-    """The single bill of one request; ``estimated`` when no upstream could tell the use."""
+    """The only bill of one request.
+
+    ``estimated`` is set when no upstream reported the usage, ``partial`` when the caller left
+    before the answer was complete.
+    """
 
     workspace: WorkspaceId
     request: RequestId
@@ -21,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BillPage:
-    """Bills in order of request id; ``next_cursor`` is empty on the last page."""
+    """Bills ordered by request id; ``next_cursor`` is empty on the last page."""
 
     bills: tuple[Bill, ...]
     next_cursor: str = ""
@@ -32,7 +36,7 @@
     """Tokens of one workspace.
 
     ``granted`` = ``settled`` + ``withheld`` + ``held_by_routers`` + ``free``. Routers spend from
-    what they hold, so a part of ``held_by_routers`` is already spent.
+    their allotments, so part of ``held_by_routers`` is already spent.
     """
 
     workspace: WorkspaceId
@@ -44,7 +48,7 @@
 
     @classmethod
     def from_record(cls, record: BudgetRecord) -> "Balance":
-        """Return the balance that a record shows."""
+        """Return the balance of a budget record."""
         return cls(
             record.workspace,
             record.granted,
@@ -58,10 +62,10 @@
 def bill_page(
     bills_by_request: dict[RequestKey, Settle], workspace: WorkspaceId, cursor: str, size: int
 ) -> BillPage:
-    """Cut one page out of a workspace's bills.
+    """Return one page of a workspace's bills.
 
-    :param cursor: last request id of the previous page, or empty.
-    :param size: most bills on a page.
+    :param cursor: last request id of the previous page; empty for the first page.
+    :param size: maximum number of bills on a page.
     """
     later = sorted(
         key.request
@@ -76,7 +80,7 @@
 
 
 def _bill_from_entry(entry: Settle) -> Bill:
-    """Return the bill that a journal entry stands for."""
+    """Return the bill for a journal entry."""
     return Bill(
         entry.workspace,
         entry.request,
--- a/packages/quinceferry-core/src/quinceferry_core/budgets.py
+++ b/packages/quinceferry-core/src/quinceferry_core/budgets.py
@@ -1,8 +1,8 @@
-"""Budget record of one workspace and the transitions that keep it from being overspent.
+"""Budget record of one workspace and its transitions, which prevent overspending.
 
-The record is the only lasting account of prepaid tokens. Each transition returns a new record,
-which its caller writes by compare-and-swap. ``settled``, ``withheld`` and all allotments together
-never exceed ``granted``.
+The record is the only durable account of prepaid tokens. Each transition returns a new record,
+which the caller writes by compare-and-swap. The sum of ``settled``, ``withheld`` and all allotments
+never exceeds ``granted``.
 """
 
 from dataclasses import dataclass, field, replace
@@ -18,13 +18,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Allotment:
-    """Tokens that one incarnation may spend.
+    """Tokens of a workspace that one incarnation may spend.
 
-    ``drawn`` is cumulative: tokens drawn less tokens returned, including those already spent.
-    ``spent`` is the holder's last report and only informs. ``outage_tokens`` is the part that the
-    incarnation may spend before recording it in its journal; a closed journal alone does not prove
-    this part unspent. ``sequence`` numbers the holder's operations on this record. A closed
-    allotment belongs to a closed incarnation and can no longer grow.
+    ``drawn`` is cumulative: tokens drawn minus tokens returned, including those already spent.
+    ``spent`` is the holder's last report and informative only. ``outage_tokens`` is the part that
+    the incarnation may spend before recording it in its journal; a closed journal alone does not
+    prove that this part is unspent. ``sequence`` numbers the holder's operations on this record. A
+    closed allotment belongs to a closed incarnation and can no longer grow.
     """
 
     drawn: int = 0
@@ -38,9 +38,9 @@
 class BudgetRecord:
     """Budget of one workspace, in tokens.
 
-    ``settled`` counts tokens spent by incarnations that have left, ``withheld`` those that may have
-    been spent and that nobody can account for. ``pending_top_ups`` holds operation ids of top-ups
-    whose own record is not yet marked as applied.
+    ``settled`` counts tokens spent by retired incarnations, ``withheld`` tokens that may have been
+    spent without a record of it. ``pending_top_ups`` holds the operation ids of top-ups whose own
+    record is not yet marked as applied.
     """
 
     workspace: WorkspaceId
@@ -52,18 +52,18 @@
 
     @property
     def outstanding(self) -> int:
-        """Return the tokens in allotments, spent or not."""
+        """Return the tokens in all allotments, spent or not."""
         return sum(allotment.drawn for allotment in self.allotments_by_incarnation.values())
 
     @property
     def free(self) -> int:
-        """Return the tokens in no allotment, not settled and not withheld."""
+        """Return the tokens that are neither allotted nor settled nor withheld."""
         return self.granted - self.settled - self.withheld - self.outstanding
 
 
 @dataclass(slots=True, frozen=True)
 class TopUpRecord:
-    """One top-up, kept for good so that a repeated call is recognised."""
+    """One top-up, kept permanently so that a repeated call is recognised."""
 
     operation: OperationId
     tokens: int
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BudgetShortfall:
-    """The record holds too few free tokens."""
+    """The budget record has too few free tokens."""
 
     wanted: int
     free: int
@@ -80,10 +80,10 @@
 
 @dataclass(slots=True, frozen=True)
 class DrawPolicy:
-    """How many unused tokens a router holds ahead of demand.
+    """How many unspent tokens a router draws ahead of demand.
 
-    ``horizon_seconds`` of its own demand and at least ``min_tokens``, but not more than
-    ``max_share`` of the workspace's unspent tokens, nor than an equal part for each holder.
+    The tokens for ``horizon_seconds`` of its own demand and at least ``min_tokens``, but at most
+    ``max_share`` of the workspace's unspent tokens and at most an equal share for each holder.
     """
 
     horizon_seconds: float
@@ -97,7 +97,7 @@
 
 
 def top_up_key(workspace: WorkspaceId, operation: OperationId) -> str:
-    """Return the key of one top-up."""
+    """Return the key of a top-up record."""
     return f"{TOP_UP_PREFIX}{workspace}/{operation}"
 
 
@@ -107,10 +107,10 @@
     tokens_per_second: float,
     policy: DrawPolicy,
 ) -> int:
-    """Decide how many unused tokens a router should hold.
+    """Return how many unspent tokens a router should hold.
 
-    An equal part for each holder leaves none without when the routers can no longer reach the
-    record. The parts shrink as the budget empties.
+    The limit of an equal share leaves tokens for every holder when the routers can no longer reach
+    the record. The shares shrink as the budget is spent.
 
     :param tokens_per_second: the router's recent demand.
     """
@@ -123,17 +123,17 @@
         max(0, allotment.drawn - allotment.spent) for allotment in open_by_incarnation.values()
     )
     holders = len(open_by_incarnation.keys() | {incarnation})
-    part = int(unspent * min(policy.max_share, 1.0 / holders))
+    share = int(unspent * min(policy.max_share, 1.0 / holders))
     wanted = max(policy.min_tokens, int(tokens_per_second * policy.horizon_seconds))
-    return min(wanted, part)
+    return min(wanted, share)
 
 
 def resize_allotment(
     record: BudgetRecord, incarnation: IncarnationId, wanted: Allotment
 ) -> Result[BudgetRecord, BudgetShortfall]:
-    """Replace an open allotment; more tokens come from the free ones, fewer go back to them.
+    """Replace an open allotment, drawing from the free tokens or returning tokens to them.
 
-    :param wanted: the new allotment; the holder has already given up what it returns.
+    :param wanted: the new allotment; the holder has already stopped using the returned tokens.
     """
     current = record.allotments_by_incarnation.get(incarnation, Allotment())
     growth = wanted.drawn - current.drawn
@@ -145,7 +145,10 @@
 def close_allotment(
     record: BudgetRecord, incarnation: IncarnationId, kept_tokens: int
 ) -> BudgetRecord:
-    """Close an allotment and free all but ``kept_tokens`` of its tokens; never raises it."""
+    """Close an allotment and free all but ``kept_tokens`` of its tokens.
+
+    An allotment that already has fewer tokens is not increased.
+    """
     current = record.allotments_by_incarnation.get(incarnation)
     if current is None:
         return record
@@ -157,9 +160,9 @@
 def retire_allotment(
     record: BudgetRecord, incarnation: IncarnationId, spent: int, withheld: int = 0
 ) -> BudgetRecord:
-    """Replace an allotment by what was spent of it; the rest becomes free.
+    """Replace an allotment by its spent tokens and free the rest.
 
-    :param withheld: tokens that may have been spent without a record.
+    :param withheld: tokens that may have been spent without a record of it.
     """
     current = record.allotments_by_incarnation.get(incarnation)
     if current is None:
@@ -177,7 +180,7 @@
 
 
 def top_up(record: BudgetRecord, operation: OperationId, tokens: int) -> BudgetRecord:
-    """Grant tokens once for each operation id."""
+    """Grant tokens, once for each operation id."""
     if operation in record.pending_top_ups:
         return record
     pending = (*record.pending_top_ups, operation)
@@ -185,7 +188,7 @@
 
 
 def remove_pending_top_up(record: BudgetRecord, operation: OperationId) -> BudgetRecord:
-    """Drop an operation id whose own record is marked as applied."""
+    """Remove the operation id of a top-up whose own record is marked as applied."""
     pending = tuple(pending_id for pending_id in record.pending_top_ups if pending_id != operation)
     return replace(record, pending_top_ups=pending)
 
--- a/packages/quinceferry-core/src/quinceferry_core/changes.py
+++ b/packages/quinceferry-core/src/quinceferry_core/changes.py
@@ -1,7 +1,7 @@
-"""Changes of the operators' configuration, as the log holds them.
+"""Changes of the operators' configuration, as stored in the configuration log.
 
-The log holds one entry for each revision, created only if absent, so that the order is total and no
-entry is ever withdrawn.
+The log has one entry for each revision, which is created only if absent, so that the entries are
+totally ordered and never removed.
 """
 
 from dataclasses import replace
@@ -62,9 +62,9 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One revision of the log.
+    """The entry of one revision in the configuration log.
 
-    ``fingerprint`` is a digest of the operator's request; a repeated operation must carry the same.
+    ``fingerprint`` is a digest of the operator's request; a repeated operation must have the same.
     """
 
     revision: int
@@ -75,7 +75,7 @@
 
 
 def object_key(change: ConfigurationChange) -> str:
-    """Return the key of the object that a change concerns."""
+    """Return the key of the object that a change applies to."""
     match change:
         case PutWorkspace(spec=spec):
             return f"workspace/{spec.id}"
@@ -92,14 +92,14 @@
 
 
 def is_removal(change: ConfigurationChange) -> bool:
-    """Tell whether a change removes its object."""
+    """Return whether a change removes its object."""
     return isinstance(change, RemoveWorkspace | RemoveModel | RemoveUpstream)
 
 
 def apply_change(
     configuration: Configuration, change: ConfigurationChange, revision: int
 ) -> Configuration:
-    """Return the configuration after a change; the given one is left as it is."""
+    """Return the configuration after a change; the given configuration is not modified."""
     workspaces = configuration.workspaces_by_id
     models = configuration.models_by_name
     upstreams = configuration.upstreams_by_id
--- a/packages/quinceferry-core/src/quinceferry_core/clocks.py
+++ b/packages/quinceferry-core/src/quinceferry_core/clocks.py
@@ -1,4 +1,4 @@
-"""Clocks passed to every component that reads the time or waits."""
+"""Clocks for every component that reads the time or waits."""
 
 import asyncio
 import time
@@ -7,23 +7,23 @@
 
 
 class Clock(Protocol):
-    """Source of time and of delays."""
+    """Source of the time and of delays."""
 
     def now(self) -> datetime:
         """Return the current wall-clock time, in UTC."""
 
     def monotonic(self) -> float:
-        """Return seconds that never run backwards, from an arbitrary origin."""
+        """Return the time of a clock that never goes backwards, in seconds from any origin."""
 
     async def sleep(self, seconds: float) -> None:
         """Suspend the calling task.
 
-        :param seconds: how long to wait; zero yields once.
+        :param seconds: duration; zero yields to the event loop once.
         """
 
 
 class SystemClock:
-    """Clock of the operating system and of the running event loop."""
+    """Clock of the operating system and the running event loop."""
 
     def now(self) -> datetime:
         """Return the current wall-clock time, in UTC."""
@@ -39,6 +39,8 @@
 
 
 def suspended_seconds() -> float:
-    """Return how long the machine was suspended since its start, which the steady clock leaves
-    out."""
+    """Return how long the machine was suspended since it booted, in seconds.
+
+    The monotonic clock does not advance during a suspension.
+    """
     return time.clock_gettime(time.CLOCK_BOOTTIME) - time.clock_gettime(time.CLOCK_MONOTONIC)
--- a/packages/quinceferry-core/src/quinceferry_core/configuration.py
+++ b/packages/quinceferry-core/src/quinceferry_core/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration at one revision, and which changes may follow it.
+"""The operators' configuration at one revision, and the conflict check for the next change.
 
 An object is a workspace, a model or an upstream. A change conflicts only with changes of the same
 object that the operator has not seen.
@@ -21,11 +21,11 @@
 from quinceferry_core.models import Configuration, IncarnationId, OperationId, VmId
 
 MAX_RETAINED_OPERATIONS = 4096
-"""Latest operations whose repetition is recognised, and whose removals are remembered."""
+"""Number of latest operations for which repetitions are recognised and removals retained."""
 
 
 class ConflictReason(Enum):
-    """Why a change was not entered into the log."""
+    """Why a change was not appended to the log."""
 
     CHANGED = "changed"
     OPERATION_REUSED = "operation_reused"
@@ -35,10 +35,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationConflict:
-    """A change that was not made.
+    """Why a change was rejected.
 
-    ``revision`` is the current one, ``changed_by`` the operations on the same object that the
-    operator had not seen.
+    ``revision`` is the current revision, ``changed_by`` lists the operations on the same object
+    that the operator had not seen.
     """
 
     reason: ConflictReason
@@ -48,14 +48,14 @@
 
 
 class ChangeState(Enum):
-    """How far a change has come."""
+    """Progress of a change."""
 
     PROPOSED = "proposed"
     ACCEPTED = "accepted"
 
 
 class AwaitedReason(Enum):
-    """Why a change waits for a router."""
+    """Why a change is not accepted while a router has not applied it."""
 
     NOT_CONFIRMED = "not_confirmed"
     LEASE_LAPSED = "lease_lapsed"
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeStatus:
-    """State of one revision; accepted means that it is in force at every router that may serve."""
+    """State of one revision; accepted means that every router that may serve has applied it."""
 
     revision: int
     state: ChangeState
@@ -82,18 +82,18 @@
 
 
 ChangeBuilder = Callable[[Configuration], Result[ConfigurationChange, str]]
-"""Derives a change from the newest configuration, or says why there is none."""
+"""Builds a change from the newest configuration, or returns why it is not possible."""
 
 
 class ObjectRevision(msgspec.Struct, frozen=True):
-    """Last change of one object, present or removed."""
+    """Revision of the last change of one object, present or removed."""
 
     revision: int
     removed: bool = False
 
 
 class AppliedOperation(msgspec.Struct, frozen=True):
-    """What the log holds under one operation id."""
+    """The log entry of one operation id."""
 
     revision: int
     object_key: str
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class ConfigurationState:
-    """Configuration at one revision, with what is needed to judge the next change."""
+    """Configuration at one revision, with the history needed to check the next change."""
 
     configuration: Configuration = field(default_factory=Configuration)
     objects_by_key: dict[str, ObjectRevision] = field(default_factory=dict)
@@ -116,8 +116,8 @@
     def apply(self, entry: LogEntry) -> bool:
         """Apply the entry that follows the current revision.
 
-        :param entry: any entry of the log.
-        :return: whether it was the next one; all others change nothing.
+        :param entry: any entry of the log; only the next one has an effect.
+        :return: whether it was the next one.
         """
         if entry.revision != self.revision + 1:
             return False
@@ -132,9 +132,10 @@
     def previous_result(
         self, operation_id: OperationId, fingerprint: str
     ) -> Result[int, ConfigurationConflict] | None:
-        """Return the answer already given to an operation, or None if it is new.
+        """Return the result of an operation that was already applied, or None if it is new.
 
-        :return: the revision it made, or a conflict when the id now comes with another request.
+        :return: the revision that it created, or a conflict when the id is reused for another
+            request.
         """
         operation = self.operations_by_id.get(operation_id)
         if operation is None:
@@ -147,9 +148,8 @@
     def find_conflict(
         self, change: ConfigurationChange, expected_revision: int
     ) -> ConfigurationConflict | None:
-        """Return why a change may not follow the current revision, or None.
+        """Return why a change conflicts with the current revision, or None.
 
-        :param change: the change.
         :param expected_revision: newest revision of the configuration or of the object that the
             operator has seen; zero for a new object.
         """
@@ -171,7 +171,7 @@
         return self._conflict(ConflictReason.CHANGED, detail, changed_by)
 
     def rejection(self, detail: str) -> ConfigurationConflict:
-        """Return the conflict of a request that the current configuration does not allow."""
+        """Return the conflict for a request that the current configuration does not allow."""
         return self._conflict(ConflictReason.REFUSED, detail)
 
     def _operations_changing(self, key: str, after: int) -> tuple[OperationId, ...]:
@@ -182,7 +182,7 @@
         )
 
     def _oldest_retained_revision(self) -> int:
-        """Return the oldest revision whose removals are still known; zero when all are."""
+        """Return the oldest revision whose removals are still retained; zero when all are."""
         if len(self.operations_by_id) < MAX_RETAINED_OPERATIONS:
             return 0
         return next(iter(self.operations_by_id.values())).revision - 1
@@ -193,7 +193,7 @@
         return ConfigurationConflict(reason, self.revision, detail, changed_by)
 
     def _evict_oldest_operation(self) -> None:
-        """Drop the oldest operation above the limit; dictionaries keep the order of the log."""
+        """Remove the oldest operation above the limit, in the order of the log."""
         if len(self.operations_by_id) <= MAX_RETAINED_OPERATIONS:
             return
         evicted = self.operations_by_id.pop(next(iter(self.operations_by_id)))
--- a/packages/quinceferry-core/src/quinceferry_core/copies.py
+++ b/packages/quinceferry-core/src/quinceferry_core/copies.py
@@ -1,8 +1,8 @@
 """Copies of journal entries that are not durable yet, held by other routers during an outage.
 
-A copy lasts only until the key-value service has the entry. It lets another router finish the
-journal of a router that died in an outage: with every registered holder's answer, what the dead
-router sent without a durable entry is known in full.
+A copy is needed only until the entry is written to the key-value store. It lets another router
+complete the journal of a router that terminated during an outage: the answers of all registered
+holders contain every entry for which that router sent a request.
 """
 
 from enum import Enum
@@ -14,17 +14,17 @@
 
 
 class EntryCopy(msgspec.Struct, frozen=True, array_like=True):
-    """An entry with its position among all entries of its journal, from zero."""
+    """An entry with its position in the journal, counted from zero."""
 
     position: int
     entry: Entry
 
 
 class HoldRequest(msgspec.Struct, frozen=True):
-    """Asks a router to hold copies of an incarnation's journal entries.
+    """Requests a router to hold copies of an incarnation's journal entries.
 
-    ``holder`` is the incarnation that is registered to hold them. Entries before
-    ``durable_before`` are durable, so that their copies may be dropped.
+    ``holder`` is the incarnation registered to hold them. Entries before ``durable_before`` are
+    durable, so that their copies may be dropped.
     """
 
     holder: IncarnationId
@@ -34,14 +34,19 @@
 
 
 class CollectRequest(msgspec.Struct, frozen=True):
-    """Asks a registered holder for its copies of a closed incarnation, and to take no more."""
+    """Requests a registered holder's copies for a closed incarnation, and seals them."""
 
     holder: IncarnationId
     owner: IncarnationId
 
 
 class HoldReply(Enum):
-    """What a holder did with copies; ``not_holder`` when it is not the registered process."""
+    """Result of a :class:`HoldRequest`.
+
+    ``held``: the copies are stored. ``sealed``: the copies were collected, so that no more are
+    accepted. ``full``: the holder's memory limit for copies is reached. ``not_holder``: the process
+    is not the registered holder.
+    """
 
     HELD = "held"
     SEALED = "sealed"
@@ -50,10 +55,10 @@
 
 
 class CollectReply(msgspec.Struct, frozen=True):
-    """All copies that a holder has of one incarnation; it takes no more of them.
+    """All copies that a holder has of one incarnation's entries; it accepts no more of them.
 
-    ``is_holder`` is false when the asked process is not the holder that was registered, so that it
-    cannot speak for it.
+    ``is_holder`` is false when the process is not the registered holder, so that its answer does
+    not count as that of the holder.
     """
 
     is_holder: bool
--- a/packages/quinceferry-core/src/quinceferry_core/copy_holders.py
+++ b/packages/quinceferry-core/src/quinceferry_core/copy_holders.py
@@ -1,4 +1,4 @@
-"""Choice of the routers that hold copies of another's journal entries."""
+"""Selection of the routers that hold copies of another router's journal entries."""
 
 from quinceferry_core.membership import Member
 from quinceferry_core.models import IncarnationId
@@ -8,10 +8,10 @@
 
 
 def choose_holders(own: Member, others: list[Member]) -> tuple[IncarnationId, ...]:
-    """Choose the routers that hold copies for one, in a stable order.
+    """Choose the holders of a router's copies, in a stable order.
 
-    One is in its own availability zone, for the case that the zone is cut off; the others are
-    elsewhere, for the case that it fails.
+    One holder is in the router's own zone, in case the zone is partitioned; the others are in other
+    zones, in case the zone fails.
     """
     member_by_incarnation = {member.incarnation: member for member in others}
     order = rendezvous_order(own.incarnation, sorted(member_by_incarnation))
--- a/packages/quinceferry-core/src/quinceferry_core/demand.py
+++ b/packages/quinceferry-core/src/quinceferry_core/demand.py
@@ -1,4 +1,4 @@
-"""Demand for models as one router sees it."""
+"""Demand for models at one router."""
 
 import math
 
@@ -6,18 +6,15 @@
 from quinceferry_core.models import ModelRef
 
 HALF_LIFE_SECONDS = 60.0
-"""Time in which the smoothed demand of a silent model halves."""
+"""Half-life of the smoothed request rate of a model without requests."""
 MIN_REQUESTS_PER_SECOND = 0.01
-"""Requests a second below which a model counts as idle."""
+"""Request rate below which a model counts as idle."""
 
 _DECAY_PER_SECOND = math.log(2) / HALF_LIFE_SECONDS
 
 
 class DemandMeter:
-    """Smoothed requests a second for each model.
-
-    :param clock: source of time.
-    """
+    """Measures the smoothed request rate of each model, in requests per second."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -25,13 +22,13 @@
         self._updated_at = 0.0
 
     def record_request(self, model: ModelRef) -> None:
-        """Count one request, also one that is refused because the model is not loaded."""
+        """Count one request, including one that is refused because the model is not loaded."""
         self._decay()
         rate = self._rate_by_model.get(model, 0.0)
         self._rate_by_model[model] = rate + _DECAY_PER_SECOND
 
     def rounded_rates(self) -> dict[ModelRef, float]:
-        """Return the demand, rounded to powers of two so that it changes rarely."""
+        """Return the rates rounded to powers of two, so that the published values change rarely."""
         self._decay()
         rates = self._rate_by_model.items()
         return {model: 2.0 ** round(math.log2(rate)) for model, rate in rates}
--- a/packages/quinceferry-core/src/quinceferry_core/journals.py
+++ b/packages/quinceferry-core/src/quinceferry_core/journals.py
@@ -1,8 +1,8 @@
-"""Journal of one incarnation: what it was about to run, and what it billed.
+"""Journal of one incarnation: the attempts that it was about to send, and its bills.
 
-The journal is a sequence of slots, each its own key, created only if absent. Whoever creates a slot
-decides its content, so an append and a close cannot both succeed at the same place. A bill is an
-element of a set keyed by workspace and request id; a repeated bill changes nothing.
+The journal is a sequence of slots, each stored under its own key, which is created only if absent.
+The creator of a slot decides its content, so that an append and a close cannot both succeed in the
+same slot. Bills form a set keyed by workspace and request id; a repeated bill changes nothing.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 
 
 class Begin(msgspec.Struct, tag="b", frozen=True, array_like=True):
-    """One attempt is about to be sent to one upstream, with tokens reserved for it."""
+    """An attempt is about to be sent to an upstream, with tokens reserved for it."""
 
     workspace: WorkspaceId
     request: RequestId
@@ -30,10 +30,11 @@
 class Settle(msgspec.Struct, tag="s", frozen=True, array_like=True):
     """All attempts of a request have ended.
 
-    ``used`` counts the tokens to bill; ``lost`` those of attempts that broke off and were replaced,
-    which are spent but not billed. ``run`` is false when no upstream began it, so there is no bill.
-    ``origin`` names the incarnation whose allotment paid. ``estimated`` marks a bill whose use no
-    upstream could tell; ``partial`` one whose caller left before the answer was whole.
+    ``used`` counts the tokens to bill; ``lost`` those of interrupted attempts that were replaced,
+    which are spent but not billed. ``run`` is false when no upstream began the request, so that
+    there is no bill. ``origin`` is the incarnation whose allotment paid. ``estimated`` marks a bill
+    whose usage no upstream reported; ``partial`` one whose caller left before the answer was
+    complete.
     """
 
     workspace: WorkspaceId
@@ -50,9 +51,9 @@
 
 
 class Slot(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One group commit, or the mark that closes the journal.
+    """One group commit, or the slot that closes the journal.
 
-    ``first`` is the position of its first entry among all entries of the journal, from zero.
+    ``first`` is the position of its first entry in the journal, counted from zero.
     """
 
     batch: str
@@ -62,12 +63,11 @@
 
 
 class Segment(msgspec.Struct, frozen=True):
-    """Bills folded out of consecutive slots, in order.
+    """Bills from the compaction of consecutive slots, in order.
 
-    ``next_position`` is the position of the first entry after them, ``folded_at`` the wall-clock
-    time of folding.
-    ``first_slot`` and ``next_slot`` bound the folded slots. ``spent_by_workspace`` is cumulative
-    over all slots before ``next_slot``.
+    ``first_slot`` and ``next_slot`` delimit the compacted slots. ``next_position`` is the position
+    of the first entry after them, ``folded_at`` the wall-clock time of the compaction.
+    ``spent_by_workspace`` is cumulative over all slots before ``next_slot``.
     """
 
     first_slot: int
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestKey:
-    """A request id is unique within its workspace."""
+    """Key of a request, whose id is unique only within its workspace."""
 
     workspace: WorkspaceId
     request: RequestId
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class JournalState:
-    """What a journal says after all its slots have been read.
+    """State of a journal, built by reading its segments and slots.
 
     ``begins_by_request`` holds the attempts of requests that are not settled.
     """
@@ -101,17 +101,17 @@
     settled_requests: set[RequestKey] = field(default_factory=set)
 
     def apply_segment(self, segment: Segment) -> None:
-        """Take over the totals of folded slots."""
+        """Apply the totals and bills of compacted slots."""
         self.next_slot = max(self.next_slot, segment.next_slot)
         self.next_position = max(self.next_position, segment.next_position)
         self.spent_by_workspace = dict(segment.spent_by_workspace)
         self.settled_requests.update(RequestKey(b.workspace, b.request) for b in segment.bills)
 
     def apply_slot(self, number: int, slot: Slot, owner: IncarnationId) -> None:
-        """Take over one slot.
+        """Apply one slot.
 
-        :param number: position of the slot; one below ``next_slot`` was folded and is skipped.
-        :param owner: the incarnation whose journal it is.
+        :param number: number of the slot; one below ``next_slot`` was compacted and is skipped.
+        :param owner: the incarnation that the journal belongs to.
         """
         if number < self.next_slot:
             return
@@ -121,7 +121,7 @@
             self.apply(position, entry, owner)
 
     def apply(self, position: int, entry: Entry, owner: IncarnationId) -> bool:
-        """Take over one entry; return False if the journal already has its position."""
+        """Apply one entry and return whether its position was new."""
         if position < self.next_position:
             return False
         self.next_position = position + 1
@@ -138,7 +138,7 @@
         return True
 
     def reserved_unsettled(self, workspace: WorkspaceId) -> int:
-        """Return the tokens reserved by attempts of a workspace that are not settled."""
+        """Return the tokens reserved by a workspace's attempts that are not settled."""
         return sum(
             begin.reserved
             for key, begins in self.begins_by_request.items()
@@ -148,12 +148,12 @@
 
 
 def slot_key(incarnation: IncarnationId, number: int) -> str:
-    """Return the key of one slot; keys sort in slot order."""
+    """Return the key of a slot; keys sort in slot order."""
     return f"{JOURNAL_PREFIX}{incarnation}/{number:012d}"
 
 
 def slot_number(key: str) -> int:
-    """Return the slot number that a key ends with."""
+    """Return the slot number at the end of a key."""
     return int(key.rpartition("/")[2])
 
 
@@ -163,15 +163,15 @@
 
 
 def owner_from_key(key: str) -> IncarnationId:
-    """Return the incarnation that the key of a slot or segment names."""
+    """Return the incarnation named in the key of a slot or segment."""
     return IncarnationId(key.split("/")[1])
 
 
 def unique_bills(entries: Iterable[Settle]) -> dict[RequestKey, Settle]:
-    """Reduce bills to one for each request.
+    """Return one bill for each request.
 
-    An exact bill goes before an estimated one and a whole answer's before a partial one; among
-    equals the lower origin wins, so that every reader picks the same.
+    An exact bill is preferred to an estimated one, and that of a complete answer to a partial one;
+    among equal bills the lower origin is preferred, so that every reader chooses the same bill.
     """
     bills_by_request: dict[RequestKey, Settle] = {}
     for entry in entries:
@@ -185,5 +185,5 @@
 
 
 def _preference_key(bill: Settle) -> tuple[bool, bool, str, int]:
-    """Return a sort key; the lowest is kept."""
+    """Return the sort key of a bill; the lowest is preferred."""
     return (bill.estimated, bill.partial, bill.origin, -bill.used)
--- a/packages/quinceferry-core/src/quinceferry_core/ledgers.py
+++ b/packages/quinceferry-core/src/quinceferry_core/ledgers.py
@@ -1,4 +1,4 @@
-"""A router's own account of the allotment it holds for one workspace."""
+"""A router's local account of its allotment for one workspace."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LedgerShortfall:
-    """The allotment holds too few unspent tokens."""
+    """The allotment has too few available tokens."""
 
     wanted: int
     available: int
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class UnrecordedUse:
-    """Tokens of one attempt that may be used and are not in the journal yet."""
+    """Tokens of one attempt that may be used and are not yet recorded in the journal."""
 
     tokens: int
 
@@ -28,7 +28,7 @@
 class Ledger:
     """Tokens drawn, reserved and spent by one incarnation for one workspace.
 
-    ``unrecorded`` counts tokens reserved or spent whose journal entry is not yet committed; it
+    ``unrecorded`` counts the tokens reserved or spent whose journal entry is not committed yet; it
     never exceeds ``outage_tokens``.
     """
 
@@ -43,11 +43,11 @@
 
     @property
     def available(self) -> int:
-        """Return the tokens neither spent nor reserved."""
+        """Return the tokens that are neither spent nor reserved."""
         return self.drawn - self.spent - self.reserved
 
     def reserve(self, request: RequestId, tokens: int) -> Result[int, LedgerShortfall]:
-        """Set tokens aside for a request before it is dispatched.
+        """Reserve tokens for a request before it is dispatched.
 
         :return: the tokens reserved.
         """
@@ -60,7 +60,7 @@
     def settle(self, request: RequestId, used: int) -> int:
         """Replace a reservation by the tokens used.
 
-        :param used: tokens used; at most the reservation is charged.
+        :param used: tokens used; no more than the reservation is charged.
         :return: the tokens charged.
         """
         reserved = self.reserved_by_request.pop(request, 0)
@@ -72,7 +72,7 @@
     def add_unrecorded(self, tokens: int) -> UnrecordedUse | None:
         """Count tokens as used before their journal entry is committed.
 
-        :return: the use, or None when the part meant for outages does not cover it.
+        :return: the use, or None when it would exceed ``outage_tokens``.
         """
         if self.unrecorded + tokens > self.outage_tokens:
             return None
@@ -80,7 +80,7 @@
         return UnrecordedUse(tokens)
 
     def lower_unrecorded(self, use: UnrecordedUse, tokens: int) -> None:
-        """Lower an unrecorded use to what is known to be used, or to zero once it is recorded."""
+        """Lower an unrecorded use to the tokens known to be used, or to zero once recorded."""
         lowered = min(use.tokens, tokens)
         self.unrecorded -= use.tokens - lowered
         use.tokens = lowered
@@ -88,7 +88,7 @@
     def update_demand(self, tokens: int, now: float) -> None:
         """Update the moving average of demand.
 
-        :param now: monotonic seconds.
+        :param now: time of the monotonic clock, in seconds.
         """
         elapsed = max(0.0, now - self.demand_updated_at)
         self.demand_updated_at = now
--- a/packages/quinceferry-core/src/quinceferry_core/limits.py
+++ b/packages/quinceferry-core/src/quinceferry_core/limits.py
@@ -1,15 +1,15 @@
-"""Limits of each workspace over the whole fleet, divided between routers by claims.
-
-Each router publishes in its heartbeat record the part of every limited workspace that it claims.
-The record is written anyway, so a claim costs no write. Four rules keep the sum of the parts in use
-at or below the whole:
-
-1. A router uses a part only once it has read its own claim back, in the order in which the
-   key-value service took the writes, and only while the sum of all claims read is at most the
-   total. Of two concurrent claims, the writer of the later one sees both.
-2. A router stops using a part before it publishes a smaller claim.
-3. A router that cannot publish keeps the part in use and does not raise it.
-4. The last claim of a router whose lease lapsed counts until its VM is proven gone.
+"""Division of each workspace's fleet-wide limits between routers, by claims.
+
+Each router publishes the share of every limited workspace that it claims in its heartbeat record.
+The record is written anyway, so that a claim costs no additional write. Four rules keep the sum of
+the shares in use at or below the total:
+
+1. A router uses a share only after it has read back its own claim, in the order in which the
+   key-value store applied the writes, and only while the sum of all claims read is at most the
+   total. Of two concurrent claims, the writer of the later one observes both.
+2. A router stops using a share before it publishes a smaller claim.
+3. A router that cannot publish keeps the share in use and does not increase it.
+4. The last claim of a router whose lease expired counts until its VM has provably terminated.
 """
 
 from collections.abc import Collection, Mapping
@@ -18,21 +18,21 @@
 from quinceferry_core.models import IncarnationId, Limits, WorkspaceId
 
 BURST_SECONDS = 1.0
-"""Tokens and requests of this many seconds may be used at once."""
+"""Size of a burst, as the time in which it accrues."""
 MIN_REQUESTS_PER_SECOND = 1e-6
-"""Requests a second below which a workspace counts as idle."""
+"""Request rate below which a workspace counts as idle."""
 ROUNDING_TOLERANCE = 1e-9
-"""Relative error of a sum of shares that is not counted as above the total."""
+"""Relative rounding error by which a sum of shares may exceed the total."""
 MAX_UNCONFIRMED_CLAIMS = 32
-"""Claims not read back after which none is changed, as in an outage of the key-value service."""
+"""Claims not yet read back at which claims stop changing, as in an outage of the store."""
 
 
 @dataclass(slots=True, frozen=True)
 class LimitClaim:
-    """Part of one workspace's limits that a router claims, with the demand it sees.
+    """Share of one workspace's limits that a router claims, with its demand.
 
-    ``share`` of the rates lies between zero and one, ``streams`` counts whole streams, ``demand``
-    is in requests a second, smoothed.
+    ``share`` is a fraction of the rate limits, ``streams`` a number of streams, and ``demand`` the
+    smoothed request rate in requests per second.
     """
 
     workspace: WorkspaceId
@@ -42,20 +42,20 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether the claim may be left out of the record."""
+        """Return whether the claim can be omitted from the record."""
         return not (self.share or self.streams or self.demand)
 
 
 def demand_weights(
     demand_by_router: Mapping[IncarnationId, float], homes: Collection[IncarnationId]
 ) -> dict[IncarnationId, float]:
-    """Return the share each router should hold; the shares add up to one, or to zero.
+    """Return the share that each router should hold; the shares add up to one, or to zero.
 
-    Without any demand the home routers, to which callers are sent, hold equal parts, so that the
-    first request finds a share. With demand, shares follow it.
+    Shares are proportional to the demand. Without demand, the home routers hold equal shares, so
+    that the first request finds a share.
 
-    :param demand_by_router: smoothed requests a second at each router.
-    :param homes: routers to which callers of the workspace are sent.
+    :param demand_by_router: smoothed request rate at each router, in requests per second.
+    :param homes: routers to which callers of the workspace are directed.
     """
     total = sum(demand_by_router.values())
     if total < MIN_REQUESTS_PER_SECOND:
@@ -64,7 +64,10 @@
 
 
 def apportion(count: int, weights: Mapping[IncarnationId, float]) -> dict[IncarnationId, int]:
-    """Divide whole units by weights, by largest remainder; ties go to the lower identifier."""
+    """Divide whole units in proportion to weights, by the largest remainder method.
+
+    Ties go to the lower identifier.
+    """
     exact = {router: count * weight for router, weight in weights.items()}
     parts = {router: int(part) for router, part in exact.items()}
     by_remainder = sorted(exact, key=lambda router: (parts[router] - exact[router], router))
@@ -76,10 +79,10 @@
 
 @dataclass(slots=True)
 class ClaimedShare:
-    """One divisible quantity, of which this router claims a part.
+    """A divisible quantity of which this router claims a share.
 
-    ``unconfirmed`` holds the claims handed to the heartbeat from the one last read back onwards,
-    any of which the others may see; only their minimum may be used.
+    ``unconfirmed`` holds the claims given to the heartbeat, from the one last read back onwards.
+    Other routers may observe any of them, so that only their minimum may be used.
     """
 
     in_use: float = 0.0
@@ -91,11 +94,11 @@
         return self.unconfirmed[-1]
 
     def confirm(self, read_back: float | None, claimed_by_others: float, total: float) -> None:
-        """Raise the part in use as far as the view allows.
+        """Raise the share in use as far as the claims of all routers allow.
 
-        :param read_back: own claim in the view, or None when the view does not hold it.
-        :param claimed_by_others: sum of all other claims in the view, lapsed included.
-        :param total: the sum that all claims together may reach.
+        :param read_back: own claim as read from the store; None when it is missing.
+        :param claimed_by_others: sum of all other claims, including those with an expired lease.
+        :param total: maximum sum of all claims.
         """
         if read_back is None or read_back not in self.unconfirmed:
             return
@@ -106,12 +109,13 @@
     def update_claim(
         self, target: float, claimed_by_others: float, total: float, has_precedence: bool
     ) -> None:
-        """Choose the next claim: a fall at once, a rise only into what is free.
+        """Choose the next claim: decrease it immediately, increase it only by what is free.
 
-        Of several routers whose claims collide, all but the first withdraw what they do not use.
+        Of several routers whose claims exceed the total, all but the first withdraw what they do
+        not use.
 
-        :param target: what this router should hold.
-        :param has_precedence: whether this router is the first of those that claim.
+        :param target: share that this router should hold.
+        :param has_precedence: whether this router is the first of the claiming routers.
         """
         if len(self.unconfirmed) >= MAX_UNCONFIRMED_CLAIMS:
             return
@@ -127,19 +131,22 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Rate limiter; zero rate admits nothing, ``level`` may go below zero by one large request."""
+    """Token bucket of one rate limit.
+
+    A rate of zero admits nothing. One large request may take ``level`` below zero.
+    """
 
     level: float = 0.0
     updated_at: float = 0.0
 
     def refill(self, rate: float, now: float) -> None:
-        """Add what has accrued since the last call, up to the burst."""
+        """Add what has accrued since the last call, up to the burst size."""
         burst = max(rate * BURST_SECONDS, 1.0)
         self.level = min(burst, self.level + rate * max(0.0, now - self.updated_at))
         self.updated_at = now
 
     def seconds_until_fits(self, cost: float, rate: float) -> float:
-        """Return how long until a cost fits; a cost above the burst needs a full bucket."""
+        """Return the time until a cost can be admitted; one above the burst needs a full bucket."""
         needed = min(cost, max(rate * BURST_SECONDS, 1.0))
         if self.level >= needed:
             return 0.0
@@ -148,14 +155,14 @@
 
 @dataclass(slots=True)
 class WorkspaceMeter:
-    """Use of one workspace's limits at this router."""
+    """Usage of one workspace's limits at this router."""
 
     requests: TokenBucket = field(default_factory=TokenBucket)
     tokens: TokenBucket = field(default_factory=TokenBucket)
     streams: int = 0
 
     def rate_wait_seconds(self, limits: Limits, share: float, tokens: int, now: float) -> float:
-        """Return seconds until a request fits the rate limits; zero when it fits now."""
+        """Return the seconds until a request fits the rate limits; zero when it fits now."""
         return max(
             _rate_limit_wait_seconds(self.requests, limits.requests_per_second, share, 1, now),
             _rate_limit_wait_seconds(self.tokens, limits.tokens_per_second, share, tokens, now),
@@ -170,7 +177,7 @@
         self.streams += 1
 
     def refund(self, limits: Limits, tokens: int) -> None:
-        """Take back the count of a request that did not run."""
+        """Undo :meth:`admit` for a request that did not run."""
         if limits.requests_per_second:
             self.requests.level += 1
         if limits.tokens_per_second:
--- a/packages/quinceferry-core/src/quinceferry_core/membership.py
+++ b/packages/quinceferry-core/src/quinceferry_core/membership.py
@@ -1,4 +1,4 @@
-"""Records by which routers know each other."""
+"""Membership records, and proofs that a member has terminated."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -8,15 +8,15 @@
 from quinceferry_core.models import IncarnationId, UpstreamId, VmId
 
 MEMBER_PREFIX = "members/"
-"""Keys bound to the lease of a live incarnation."""
+"""Prefix of keys bound to the lease of a live incarnation."""
 INCARNATION_PREFIX = "incarnations/"
-"""Keys that outlive the lease, until the incarnation is retired."""
+"""Prefix of keys that outlive the lease, until the incarnation is retired."""
 FENCING_KEY = "fencing"
-"""Counter from which each incarnation draws its fencing number."""
+"""Key of the counter from which each incarnation takes its fencing number."""
 
 
 class MemberState(Enum):
-    """Whether a member takes new requests; only one that is serving is named in answers."""
+    """State of a member; only a serving member accepts new requests and is in address answers."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuarantinedContent:
-    """Content of requests that must not be run until a time, named by its fingerprint."""
+    """Fingerprint of request content that must not run until ``ends_at``."""
 
     content: str
     ends_at: datetime
@@ -35,11 +35,11 @@
 class Member:
     """Heartbeat record of a live incarnation, stored under its lease.
 
-    ``leaving_upstreams`` are those that this router saw leave; ``limit_claims`` are its parts of
-    the workspaces' limits. ``applied_revision`` is that at the last write; the confirmed one stands
-    in the incarnation record. ``stop_step`` names the step of a graceful stop in progress, and
-    ``open_streams`` counts the requests in progress when the record was written.
-    ``quarantined`` is what this router has found to crash engines.
+    ``leaving_upstreams`` are the upstreams that this router observed leaving; ``limit_claims`` are
+    its claims on the workspaces' limits. ``applied_revision`` is the one at the last write; the
+    confirmed one is in the incarnation record. ``stop_step`` names the current step of a graceful
+    stop, and ``open_streams`` counts the requests in progress when the record was written.
+    ``quarantined`` lists the content that this router has found to crash engines.
     """
 
     incarnation: IncarnationId
@@ -58,17 +58,17 @@
 
 @dataclass(slots=True, frozen=True)
 class IncarnationRecord:
-    """Lasting record of an incarnation, kept until its allotments and bills are settled.
+    """Durable record of an incarnation, kept until its allotments and bills are settled.
 
     Every writer reads the record, replaces its own fields and writes by compare-and-swap. A router
     that finds its record closed or missing has been fenced. The record may be deleted only when
-    :func:`absence_proof` gives a proof.
+    :func:`absence_proof` returns a proof.
 
-    ``closed_by`` names the incarnation that closed its journal, or is empty while it is open.
+    ``closed_by`` is the incarnation that closed its journal; empty while the journal is open.
     ``copy_holders`` are the only routers that may hold copies of its journal entries.
-    ``applied_revision`` is the configuration revision that the router has confirmed.
-    ``listening`` says that the router owns its listening address, ``vm_listed`` that it has seen
-    its own VM in the VM list since it joined, ``left`` that it stopped and will serve no more.
+    ``applied_revision`` is the configuration revision that the router has confirmed. ``listening``
+    is set once the router owns its listening address, ``vm_listed`` once it has observed its own VM
+    in the VM list since it joined, ``left`` once it has stopped and will not serve any more.
     """
 
     incarnation: IncarnationId
@@ -90,12 +90,12 @@
 
 
 def incarnation_key(incarnation: IncarnationId) -> str:
-    """Return the key of a lasting incarnation record."""
+    """Return the key of a durable incarnation record."""
     return f"{INCARNATION_PREFIX}{incarnation}"
 
 
 class AbsenceProof(Enum):
-    """Why a process can send nothing more under its incarnation."""
+    """Why a process cannot send anything more under its incarnation."""
 
     LEFT = "left"
     SUPERSEDED = "superseded"
@@ -104,9 +104,9 @@
 
 @dataclass(slots=True, frozen=True)
 class VmAbsence:
-    """Unbroken run of readings of the VM list in which one VM was missing.
+    """Consecutive readings of the VM list in which one VM was missing.
 
-    Times are in monotonic seconds of the reading router.
+    Times are in seconds of the reading router's monotonic clock.
     """
 
     first_read_at: float
@@ -115,7 +115,7 @@
 
 
 MIN_ABSENT_READINGS = 3
-"""Readings without a VM that count as its absence."""
+"""Number of consecutive readings without a VM that count as its absence."""
 
 
 def vm_has_terminated(
@@ -124,18 +124,17 @@
     absence: VmAbsence | None,
     max_lag_seconds: float,
 ) -> bool:
-    """Tell whether the VM list proves that an incarnation's VM has ended.
+    """Return whether the VM list proves that an incarnation's VM has terminated.
 
-    The proof rests on three assumptions about the platform: a reading shows the list as it stood
-    at most ``max_lag_seconds`` before; a VM that was listed stays listed until it has stopped
-    running; and VM names are not used again. A missing VM alone proves nothing, because it may not
-    be listed yet. The incarnation itself records that it saw its VM listed (``vm_listed``); a
-    reading taken ``max_lag_seconds`` after that record was seen is newer than the listing.
+    The proof relies on three assumptions about the platform: a reading returns the list as it was
+    at most ``max_lag_seconds`` earlier; a listed VM stays listed until it has stopped running; and
+    VM names are not reused. A missing VM alone proves nothing, because it may not be listed yet.
+    The incarnation itself records that it has observed its VM in the list (``vm_listed``); a
+    reading taken ``max_lag_seconds`` after that record was read is newer than this observation.
 
-    :param record: the incarnation's record.
     :param record_seen_at: when this router first read the record with ``vm_listed`` set.
-    :param absence: the current run of readings without the VM; None if the last one had it.
-    :param max_lag_seconds: the greatest lag of the VM list.
+    :param absence: the latest consecutive readings without the VM; None if the last one had it.
+    :param max_lag_seconds: maximum lag of the VM list.
     """
     if not record.vm_listed or absence is None:
         return False
@@ -148,14 +147,13 @@
 def absence_proof(
     record: IncarnationRecord, successors: "tuple[IncarnationRecord, ...]", vm_terminated: bool
 ) -> AbsenceProof | None:
-    """Return the proof that an incarnation's process serves no more, or None.
+    """Return the proof that an incarnation's process no longer serves, or None.
 
     A later incarnation that listens on the same address of the same VM supersedes an earlier one:
     two processes cannot own one listening address, not even while one of them is paused.
 
-    :param record: the incarnation in question.
     :param successors: records of other incarnations.
-    :param vm_terminated: the verdict of :func:`vm_has_terminated`.
+    :param vm_terminated: the result of :func:`vm_has_terminated`.
     """
     if record.left:
         return AbsenceProof.LEFT
@@ -165,6 +163,6 @@
 
 
 def _supersedes(later: IncarnationRecord, earlier: IncarnationRecord) -> bool:
-    """Tell whether a later incarnation took over the address of an earlier one."""
+    """Return whether a later incarnation took over the address of an earlier one."""
     same_address = later.vm == earlier.vm and later.address == earlier.address != ""
     return same_address and later.listening and later.fencing > earlier.fencing
--- a/packages/quinceferry-core/src/quinceferry_core/orders.py
+++ b/packages/quinceferry-core/src/quinceferry_core/orders.py
@@ -1,8 +1,8 @@
-"""Which engines should have which models loaded.
+"""Planning of the models that each engine should load.
 
-Every order holder computes the same plan from the same records, and gives orders only to its own
-engines. Loads are wished for; nothing is unloaded unless no workspace has it attached any more, or
-a model with more demand finds no room anywhere.
+Every order holder computes the same plan from the same records, and sends orders only to its own
+engines. The plan consists of loads. A model is unloaded only when no workspace has it attached any
+more, or when a model with more demand fits on no engine.
 """
 
 import math
@@ -15,16 +15,16 @@
 from quinceferry_core.routing import model_is_loaded, rendezvous_order
 
 EVICTION_DEMAND_RATIO = 2.0
-"""How many times the demand of a model must exceed that of one which gives way to it."""
+"""Factor by which demand must exceed that of a model whose last replica it evicts."""
 MIN_REPLICAS = 2
-"""Engines that have a model with any demand, so that the loss of one stops nobody."""
+"""Replicas of every model with demand, so that the loss of one engine stops no caller."""
 
 
 class EngineRecord(msgspec.Struct, frozen=True):
-    """What a holder knows of one of its engines.
+    """State of an engine, as published by its order holder.
 
-    ``usable`` is false while the engine leaves or does not answer; ``full`` after it refused a
-    load.
+    ``usable`` is false while the engine is leaving or does not answer; ``full`` is set after it
+    rejected a load.
     """
 
     upstream: UpstreamId
@@ -34,13 +34,13 @@
     full: bool = False
 
     def has_or_loads(self, model: ModelRef) -> bool:
-        """Tell whether a model is loaded or being loaded."""
+        """Return whether a model is loaded or being loaded."""
         return model_is_loaded(model, (*self.loaded, *self.loading))
 
 
 @dataclass(slots=True, frozen=True)
 class PlannedLoad:
-    """A model that an engine should load; ``replicas`` counts the engines that have it already."""
+    """A planned load; ``replicas`` counts the engines that already have the model."""
 
     upstream: UpstreamId
     model: ModelRef
@@ -48,17 +48,17 @@
 
 
 def attached_models(configuration: Configuration) -> tuple[ModelRef, ...]:
-    """Return the models attached to any workspace, in a fixed order."""
+    """Return the models attached to any workspace, in a stable order."""
     specs = configuration.workspaces_by_id.values()
     return tuple(sorted({model for spec in specs for model in spec.models}, key=str))
 
 
 def replica_target(demand: float, total_demand: float, engines: int) -> int:
-    """Return how many engines should have a model.
+    """Return the number of engines that should have a model.
 
-    :param demand: requests a second for it.
-    :param total_demand: requests a second for all models.
-    :param engines: usable engines.
+    :param demand: request rate of the model, in requests per second.
+    :param total_demand: request rate of all models, in requests per second.
+    :param engines: number of usable engines.
     """
     if demand <= 0 or total_demand <= 0:
         return min(1, engines)
@@ -69,12 +69,12 @@
 def plan_loads(
     attached: Sequence[ModelRef], demand: Mapping[ModelRef, float], engines: Sequence[EngineRecord]
 ) -> list[PlannedLoad]:
-    """Return the loads that the fleet should make, most needed first.
+    """Return the loads that the fleet should perform, in order of need.
 
-    Models that no engine has come first, those with more demand before the others.
+    Models that no engine has come first, then models with more demand.
 
     :param attached: models attached to workspaces.
-    :param demand: requests a second by model, over the fleet.
+    :param demand: request rate by model over the fleet, in requests per second.
     :param engines: all engines of the fleet.
     """
     usable = {engine.upstream: engine for engine in engines if engine.usable}
@@ -87,11 +87,11 @@
         missing = max(0, target - len(holders))
         for upstream in rendezvous_order(str(model), eligible)[:missing]:
             planned.append(PlannedLoad(upstream, model, len(holders)))
-    return sorted(planned, key=lambda w: (w.replicas > 0, -demand.get(w.model, 0.0), str(w.model)))
+    return sorted(planned, key=lambda p: (p.replicas > 0, -demand.get(p.model, 0.0), str(p.model)))
 
 
 def detached_models(engine: EngineRecord, attached: Sequence[ModelRef]) -> list[ModelRef]:
-    """Return the models loaded at an engine that serve no workspace."""
+    """Return the models loaded on an engine that no workspace has attached."""
     return [
         loaded_model for loaded_model in engine.loaded if not _serves_any(loaded_model, attached)
     ]
@@ -105,12 +105,12 @@
 ) -> ModelRef | None:
     """Return the model that an engine should unload for one that is loaded nowhere, or None.
 
-    Only the engine that the unplaced model prefers gives way, so that one is unloaded for it, not
-    one at each engine.
+    Only the engine that ranks first for the unplaced model evicts, so that one model is unloaded
+    for it and not one on every engine.
 
-    :param engine: the engine asked about.
+    :param engine: the engine that may evict.
     :param attached: models attached to workspaces.
-    :param demand: requests a second by model, over the fleet.
+    :param demand: request rate by model over the fleet, in requests per second.
     :param engines: all engines of the fleet.
     """
     usable = [other for other in engines if other.usable]
@@ -134,7 +134,7 @@
     demand: Mapping[ModelRef, float],
     usable: Sequence[EngineRecord],
 ) -> ModelRef | None:
-    """Return the loaded model that loses least by giving way to a demand, or None."""
+    """Return the loaded model whose eviction costs least, or None when none may be evicted."""
 
     def cost(loaded_model: ModelRef) -> tuple[bool, float, str]:
         is_last = sum(loaded_model in other.loaded for other in usable) < MIN_REPLICAS
--- a/packages/quinceferry-core/src/quinceferry_core/prefills.py
+++ b/packages/quinceferry-core/src/quinceferry_core/prefills.py
@@ -1,24 +1,24 @@
-"""Estimate of the prompt tokens that an engine has still to read for this router."""
+"""Estimate of the prompt tokens that an engine still has to prefill for this router."""
 
 from dataclasses import dataclass, field
 
 from quinceferry_core.journals import RequestKey
 
 MAX_PLACEMENT_ALLOWANCE_SECONDS = 1.0
-"""Longest time whose reading is set off against prompts that are not on their way yet."""
+"""Longest prefill time that is deducted from prompts that are not dispatched yet."""
 
 
 @dataclass(slots=True)
 class PrefillBacklog:
-    """What this router has at one engine and its engine has still to read.
+    """Prompt tokens of this router that one engine still has to prefill.
 
-    Dispatched prompts are a queue that drains at the engine's rate, and never more than the prompts
-    whose first token has not come: an engine may be slow to its first token although it has read
-    the prompt. Prompts that are placed but not dispatched, since their journal entry is not
-    committed, count as far as they exceed what the engine reads while they wait; so what is
-    placed in one go does not pile up.
+    Dispatched prompts form a queue that drains at the engine's prefill rate. It never exceeds the
+    tokens of the prompts without a first token, since an engine may delay the first token of a
+    prompt that it has prefilled. Prompts that are placed but not dispatched, because their journal
+    entry is not committed, count only as far as they exceed what the engine prefills while they
+    wait, so that prompts placed at once do not accumulate in the estimate.
 
-    :param prefill_tokens_per_second: prompt tokens the engine reads a second.
+    :param prefill_tokens_per_second: prefill rate of the engine.
     """
 
     prefill_tokens_per_second: float
@@ -28,24 +28,24 @@
     _queue_updated_at: float = 0.0
 
     def record_placement(self, key: RequestKey, tokens: int, now: float) -> None:
-        """Note a prompt that will be dispatched."""
+        """Record a prompt that will be dispatched, with its uncached tokens."""
         self._sent_by_key.pop(key, None)
         self._placed_by_key[key] = tokens, now
 
     def record_dispatch(self, key: RequestKey, now: float) -> None:
-        """Note that a placed prompt leaves for the engine."""
+        """Record that a placed prompt is sent to the engine."""
         tokens, _ = self._placed_by_key.pop(key, (0, now))
         if tokens:
             self._queue_tokens, self._queue_updated_at = self._queued_tokens(now) + tokens, now
             self._sent_by_key[key] = tokens
 
     def remove(self, key: RequestKey) -> None:
-        """Note that a prompt has its first token or has left the engine."""
+        """Remove a prompt that has its first token or has ended."""
         self._placed_by_key.pop(key, None)
         self._sent_by_key.pop(key, None)
 
     def estimated_tokens(self, now: float) -> float:
-        """Return the estimate, in tokens."""
+        """Return the estimate of the tokens that the engine still has to prefill."""
         return self._queued_tokens(now) + self._excess_placed_tokens(now)
 
     def _queued_tokens(self, now: float) -> float:
--- a/packages/quinceferry-core/src/quinceferry_core/prefixes.py
+++ b/packages/quinceferry-core/src/quinceferry_core/prefixes.py
@@ -1,8 +1,8 @@
-"""What each engine's prompt cache is believed to hold.
+"""Estimate of the prompt prefixes that each engine caches.
 
-A prompt is cut into blocks of characters; each block's hash covers all text before it, so that
-equal hashes mean equal prefixes. Belief comes from two sources: prompts that this router sent, and
-the engines' cache events, which arrive late and with gaps.
+A prompt is split into blocks of characters. The hash of a block covers all text before it, so that
+equal hashes mean equal prefixes. The estimate has two sources: the prompts that this router sent,
+and the engines' cache events, which arrive late and with gaps.
 """
 
 import hashlib
@@ -13,21 +13,20 @@
 from quinceferry_core.models import ModelRef
 
 BLOCK_CHARS = 256
-"""Characters in one block of a prompt."""
+"""Number of characters in a block."""
 MAX_BLOCKS = 128
-"""Blocks of a prompt that are hashed; what follows counts as not cached."""
+"""Maximum number of hashed blocks of a prompt; the rest counts as not cached."""
 DEFAULT_MAX_PREFIX_HASHES = 2048
-"""Prefix hashes remembered for each engine."""
+"""Number of prefix hashes kept for each engine."""
 
 _HASH_BYTES = 8
 
 
 def prefix_hashes(target: ModelRef, prompt: str) -> tuple[int, ...]:
-    """Hash every whole block of a prompt together with all text before it.
+    """Hash every complete block of a prompt together with all text before it.
 
-    :param target: model, adapter and version; their caches are never shared.
-    :param prompt: the text that the model reads.
-    :return: one hash for each whole block, the shortest prefix first.
+    :param target: model, adapter and version; caches are never shared between them.
+    :return: one hash for each complete block, the shortest prefix first.
     """
     running = hashlib.blake2b(str(target).encode(), digest_size=_HASH_BYTES)
     blocks = min(len(prompt) // BLOCK_CHARS, MAX_BLOCKS)
@@ -40,7 +39,7 @@
 
 @dataclass(slots=True)
 class PrefixIndex:
-    """Believed cache content of one engine, least recently used first."""
+    """Estimated cache content of one engine, least recently used first."""
 
     max_hashes: int = DEFAULT_MAX_PREFIX_HASHES
     last_sequence: int = 0
@@ -48,28 +47,28 @@
     _hashes: OrderedDict[int, None] = field(default_factory=OrderedDict)
 
     def record_sent(self, hashes: tuple[int, ...]) -> None:
-        """Note that a prompt was sent to this engine, which will cache it."""
+        """Record that a prompt was sent to this engine, which caches it."""
         for prefix_hash in reversed(hashes):
             self._add(prefix_hash)
 
     def apply(self, events: tuple[CacheEvent, ...]) -> None:
-        """Apply cache events; those already seen are ignored.
+        """Apply cache events; events that were already applied are ignored.
 
-        A gap hides at most as many evictions as events, so that many hashes are forgotten, least
-        recently used first, since those are what an engine evicts.
+        A gap contains at most as many evictions as events, so that this many hashes are removed,
+        least recently used first, which is the order in which an engine evicts.
         """
         for event in sorted(events, key=lambda event: event.sequence):
             self._apply_event(event)
 
     def matched_blocks(self, hashes: tuple[int, ...]) -> int:
-        """Count the leading blocks of a prompt believed to be cached."""
+        """Return the number of leading blocks of a prompt that are estimated to be cached."""
         for count, prefix_hash in enumerate(hashes):
             if prefix_hash not in self._hashes:
                 return count
         return len(hashes)
 
     def __len__(self) -> int:
-        """Return the number of remembered hashes."""
+        """Return the number of hashes."""
         return len(self._hashes)
 
     def _apply_event(self, event: CacheEvent) -> None:
--- a/packages/quinceferry-core/src/quinceferry_core/quarantine.py
+++ b/packages/quinceferry-core/src/quinceferry_core/quarantine.py
@@ -1,16 +1,16 @@
-"""Which content crashes the upstreams that run it, and is not to be run.
-
-The load: one request makes every upstream that begins to run it crash, and its caller sends it
-again and again, each time with a new identifier and to any router. Each crash breaks all requests
-that the upstream works on, and their callers repeat them, so that the broken requests are many and
-nearly all of them innocent.
-
-What tells the culprit is that the same content is there at each crash, and how far it had come: a
-run that had begun and produced nothing is a likelier cause than one that may still have waited, and
-one that had produced output is the least likely. At each crash only the likeliest ones count, which
-is known once all routers have told what they had there. Any answer clears its content. Where
-upstreams crash by themselves all the time, some innocent content is there three times by chance, so
-that more crashes are asked for then.
+"""Detection and quarantine of request content that crashes the upstreams that run it.
+
+One request crashes every upstream that begins to run it, and its caller repeats it, each time with
+a new identifier and through any router. Each crash interrupts all requests in progress on the
+upstream, and their callers repeat them, so that nearly all of the many interrupted requests are not
+the cause.
+
+The cause is identified by its presence at each crash and by its progress there: a run that had
+begun without producing output is a more likely cause than one that may still have been waiting, and
+one that had produced output is the least likely. At each crash only the most likely contents count,
+which are known once all routers have reported their requests. Any complete answer clears its
+content. Where upstreams often crash by themselves, some other content is present at three crashes
+by chance, so that more crashes are required then.
 """
 
 from collections import defaultdict
@@ -18,28 +18,28 @@
 from enum import IntEnum
 
 EVIDENCE_SECONDS = 600.0
-"""How long a crash counts."""
+"""How long a crash counts as evidence."""
 EXTRA_BYSTANDER_CRASHES = 2
-"""Crashes beyond the limit after which content counts as a cause though there was a likelier one
-at each: whoever is there so often without one answer is no bystander."""
+"""Crashes beyond the minimum after which content counts as the cause even if other content was more
+likely at each crash: content present so often without one answer is not there by chance."""
 EVIDENCE_DELAY_SECONDS = 0.5
-"""Time after a crash in which evidence of it still comes from other routers: the check of whether
-the upstream is gone takes 0.3 s at most, and a message some milliseconds."""
+"""Time after a crash in which other routers still report evidence of it: their check whether the
+upstream has terminated takes at most 0.3 s, and a message some milliseconds."""
 RECENT_CRASH_SECONDS = 20.0
-"""How long ago crashes without some content still speak for chance."""
+"""How long a crash without some content counts as a sign that upstreams crash by themselves."""
 MAX_EXTRA_CRASHES = 2
-"""Most crashes beyond the limit that are asked for while upstreams crash by themselves: with five
-crashes no request is blamed that its router and its caller send four times in all."""
+"""Maximum number of additional crashes that are required while upstreams crash by themselves: with
+five crashes, no request is quarantined that its router and its caller send four times in total."""
 MAX_QUARANTINE_SECONDS = 4 * 3600.0
-"""Longest quarantine; each one that follows on another is twice as long."""
+"""Longest quarantine; each repeated quarantine lasts twice as long as the one before."""
 MAX_CRASHES = 128
 MAX_CONTENTS_PER_CRASH = 512
 MAX_QUARANTINED_CONTENTS = 256
-"""Bounds of what is remembered; the oldest goes first."""
+"""Limits of the retained state; the oldest entries are removed first."""
 
 
 class RunStage(IntEnum):
-    """How far a request is known to have come at an upstream."""
+    """Known progress of a request on an upstream."""
 
     SENT = 0
     BEGUN = 1
@@ -51,9 +51,9 @@
 
 @dataclass(slots=True)
 class _Crash:
-    """The end of one lifetime of an upstream, and the contents that ran there.
+    """The crash of an upstream, which ends one of its lifetimes, and the contents present.
 
-    ``max_suspicion`` is the highest suspicion among them.
+    ``max_suspicion`` is the highest suspicion among the contents.
     """
 
     crashed_at: float
@@ -61,7 +61,7 @@
     max_suspicion: int = 0
 
     def add(self, content: str, stage: RunStage) -> None:
-        """Note that content ran there; the more suspicious word of the same one holds."""
+        """Record content that was present; its most suspicious stage counts."""
         known = self.stages_by_content.get(content)
         if known is not None and _SUSPICION_BY_STAGE[known] >= _SUSPICION_BY_STAGE[stage]:
             return
@@ -69,15 +69,15 @@
         self.max_suspicion = max(self.max_suspicion, _SUSPICION_BY_STAGE[stage])
 
     def remove(self, content: str) -> None:
-        """Leave out content that did not cause it."""
+        """Remove content that did not cause the crash."""
         del self.stages_by_content[content]
         suspicions = (_SUSPICION_BY_STAGE[stage] for stage in self.stages_by_content.values())
         self.max_suspicion = max(suspicions, default=0)
 
     def is_likely_cause(self, content: str, now: float) -> bool:
-        """Tell whether no other content is a likelier cause.
+        """Return whether no other content is a more likely cause.
 
-        Whether there is one is open for a moment, unless the content is as likely as any can be.
+        Until all evidence has arrived, this is known only for content of the highest suspicion.
         """
         stage = self.stages_by_content[content]
         if stage is RunStage.BEGUN:
@@ -88,29 +88,32 @@
         )
 
     def is_possible_cause(self, content: str) -> bool:
-        """Tell whether the content may have caused it at all."""
+        """Return whether the content can have caused the crash."""
         return self.stages_by_content[content] is not RunStage.PRODUCING
 
 
 @dataclass(slots=True, frozen=True)
 class _QuarantineEntry:
-    """A quarantine of some length; as long again after its end, one crash begins the next."""
+    """The quarantine of one content.
+
+    For as long again after its end, a single crash starts the next quarantine.
+    """
 
     ends_at: float
     seconds: float
 
     def has_lapsed(self, now: float) -> bool:
-        """Tell whether nothing is left of it."""
+        """Return whether the time in which a single crash suffices has passed, too."""
         return now >= self.ends_at + self.seconds
 
 
 class Quarantine:
-    """Collects evidence of crashes and tells which content is not to be run.
+    """Collects evidence of crashes and decides which content must not run.
 
-    Content is named by fingerprints. All times are those of the steady clock, in seconds.
+    Content is identified by fingerprints. All times are in seconds of the monotonic clock.
 
-    :param crashes_to_quarantine: upstreams that content has crashed when it is put into quarantine.
-    :param initial_seconds: how long the first quarantine lasts.
+    :param crashes_to_quarantine: number of crashes after which content is quarantined.
+    :param initial_seconds: duration of the first quarantine.
     """
 
     __slots__ = (
@@ -130,14 +133,14 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing at all is remembered, so that no content needs to be named."""
+        """Return whether there is no state, so that no fingerprint needs to be computed."""
         return not self._crashes_by_lifetime and not self._quarantine_by_content
 
     def record_crash(self, lifetime: str, content: str, stage: RunStage, now: float) -> bool:
-        """Note that an upstream crashed while it had a request.
+        """Record that an upstream crashed while it had a request.
 
-        :param lifetime: names one lifetime of one upstream.
-        :return: whether the content is in quarantine since this.
+        :param lifetime: identifies one lifetime of one upstream.
+        :return: whether the content was quarantined by this call.
         """
         crash = self._crashes_by_lifetime.get(lifetime)
         if crash is None:
@@ -151,18 +154,19 @@
         return self._evaluate(content, now)
 
     def evaluate_crash(self, lifetime: str, now: float) -> list[str]:
-        """Draw conclusions once all evidence of a crash must be here.
+        """Evaluate a crash once all evidence of it must have arrived.
 
-        :return: contents in quarantine since this.
+        :return: contents quarantined by this call.
         """
         crash = self._crashes_by_lifetime.get(lifetime)
         contents = sorted(crash.stages_by_content) if crash is not None else []
         return [content for content in contents if self._evaluate(content, now)]
 
     def record_completion(self, content: str, now: float) -> list[str]:
-        """Note that content was answered, which clears it, also of an earlier quarantine.
+        """Record a complete answer, which clears its content, including past quarantines.
 
-        :return: contents in quarantine since this, as no other is left that explains the crashes.
+        :return: contents quarantined by this call, because they remain as the only explanation of
+            the crashes.
         """
         if content in self._quarantine_by_content and not self.remaining_seconds(content, now):
             del self._quarantine_by_content[content]
@@ -174,11 +178,11 @@
         return [other for other in sorted(others) if self._evaluate(other, now)]
 
     def is_suspected(self, content: str) -> bool:
-        """Tell whether the content was there at a crash, or was in quarantine before."""
+        """Return whether the content was present at a crash or has been quarantined before."""
         return content in self._lifetimes_by_content or content in self._quarantine_by_content
 
     def attributed_crashes(self, content: str, now: float) -> list[str]:
-        """Return the lifetimes of upstreams that the content has likely crashed."""
+        """Return the upstream lifetimes whose crash the content most likely caused."""
         return [
             lifetime
             for lifetime in self._counted_crashes(content, now)
@@ -186,25 +190,25 @@
         ]
 
     def next_crash_quarantines(self, content: str, now: float) -> bool:
-        """Tell whether one more crash puts the content into quarantine, or it is there already."""
+        """Return whether the content is quarantined or one more crash would quarantine it."""
         return len(self.attributed_crashes(content, now)) + 1 >= self._required_crashes(
             content, now
         )
 
     def remaining_seconds(self, content: str, now: float) -> float:
-        """Return how long the content stays in quarantine, zero if it may run."""
+        """Return the remaining seconds of the content's quarantine; zero if it may run."""
         entry = self._quarantine_by_content.get(content)
         return 0.0 if entry is None else max(0.0, entry.ends_at - now)
 
     def adopt(self, content: str, seconds: float, now: float) -> bool:
-        """Take from another router that content is in quarantine; tell whether that is news."""
+        """Adopt a quarantine reported by another router; return whether it is new."""
         if seconds <= 0 or self.remaining_seconds(content, now):
             return False
         self._start_quarantine(content, min(seconds, MAX_QUARANTINE_SECONDS), now)
         return True
 
     def remaining_seconds_by_content(self, now: float) -> dict[str, float]:
-        """Return all contents in quarantine and for how long."""
+        """Return all quarantined contents with their remaining seconds."""
         return {
             content: entry.ends_at - now
             for content, entry in self._quarantine_by_content.items()
@@ -212,53 +216,53 @@
         }
 
     def _evaluate(self, content: str, now: float) -> bool:
-        """Put content into quarantine if the evidence is enough; tell whether that is news."""
+        """Quarantine content if the evidence suffices; return whether that is new."""
         if self.remaining_seconds(content, now):
             return False
         counted = self._counted_crashes(content, now)
-        least = self._min_crashes(content, now)
-        if len(counted) < least:
+        minimum = self._min_crashes(content, now)
+        if len(counted) < minimum:
             return False
-        involved = sum(self._crashes_by_lifetime[key].is_possible_cause(content) for key in counted)
-        is_bystander = involved < least + EXTRA_BYSTANDER_CRASHES
+        possible = sum(self._crashes_by_lifetime[key].is_possible_cause(content) for key in counted)
+        is_bystander = possible < minimum + EXTRA_BYSTANDER_CRASHES
         if is_bystander and len(self.attributed_crashes(content, now)) < self._required_crashes(
             content, now
         ):
             return False
-        before = self._quarantine_by_content.get(content)
-        seconds = self._initial_seconds if before is None else 2 * before.seconds
+        previous = self._quarantine_by_content.get(content)
+        seconds = self._initial_seconds if previous is None else 2 * previous.seconds
         self._start_quarantine(content, min(seconds, MAX_QUARANTINE_SECONDS), now)
         return True
 
     def _start_quarantine(self, content: str, seconds: float, now: float) -> None:
-        """Put content into quarantine."""
+        """Quarantine content for some seconds."""
         while (
             len(self._quarantine_by_content) >= MAX_QUARANTINED_CONTENTS
             and content not in self._quarantine_by_content
         ):
             del self._quarantine_by_content[next(iter(self._quarantine_by_content))]
-        # Word from another router names what is left of a quarantine, not its whole length.
+        # Another router reports the remaining time of a quarantine, not its full duration.
         length = max(seconds, self._initial_seconds)
         self._quarantine_by_content[content] = _QuarantineEntry(now + seconds, length)
 
     def _min_crashes(self, content: str, now: float) -> int:
-        """Return how many crashes are enough at least; one after an earlier quarantine."""
+        """Return the minimum number of crashes; one after an earlier quarantine."""
         entry = self._quarantine_by_content.get(content)
         return self._crashes_to_quarantine if entry is None or entry.has_lapsed(now) else 1
 
     def _required_crashes(self, content: str, now: float) -> int:
-        """Return how many crashes are enough, more while upstreams crash without the content."""
-        least = self._min_crashes(content, now)
-        if least < self._crashes_to_quarantine:
-            return least
-        without = sum(
+        """Return the required number of crashes, more while upstreams crash without the content."""
+        minimum = self._min_crashes(content, now)
+        if minimum < self._crashes_to_quarantine:
+            return minimum
+        crashes_without = sum(
             now - crash.crashed_at < RECENT_CRASH_SECONDS and content not in crash.stages_by_content
             for crash in self._crashes_by_lifetime.values()
         )
-        return least + min(MAX_EXTRA_CRASHES, without // self._crashes_to_quarantine)
+        return minimum + min(MAX_EXTRA_CRASHES, crashes_without // self._crashes_to_quarantine)
 
     def _counted_crashes(self, content: str, now: float) -> list[str]:
-        """Return the crashes of content that count: an earlier quarantine was for those before."""
+        """Return the crashes of content that count, which excludes those before its quarantine."""
         entry = self._quarantine_by_content.get(content)
         since = now - EVIDENCE_SECONDS
         if entry is not None and entry.ends_at <= now:
@@ -269,7 +273,7 @@
         )
 
     def _remove_expired(self, now: float) -> None:
-        """Drop what is too old, and the oldest crash where there is no room for another."""
+        """Remove expired state, and the oldest crash if the limit leaves no room for another."""
         oldest_first = list(self._crashes_by_lifetime.items())
         surplus = len(oldest_first) - MAX_CRASHES + 1
         for number, (lifetime, crash) in enumerate(oldest_first):
@@ -281,7 +285,7 @@
             del self._quarantine_by_content[content]
 
     def _remove_crash(self, lifetime: str, crash: _Crash) -> None:
-        """Drop a crash."""
+        """Remove a crash."""
         del self._crashes_by_lifetime[lifetime]
         for content in crash.stages_by_content:
             lifetimes = self._lifetimes_by_content[content]
--- a/packages/quinceferry-core/src/quinceferry_core/queues.py
+++ b/packages/quinceferry-core/src/quinceferry_core/queues.py
@@ -1,8 +1,8 @@
-"""Bounded queue of requests, by priority, fair between workspaces, earliest deadline first.
+"""Bounded queue of requests: by priority, fair between workspaces, earliest deadline first.
 
-Higher priorities go first, but one departure in ``LOWEST_CLASS_PERIOD`` goes to the lowest waiting
-class, so that none starves. Within a class the workspaces share by tokens (start-time fair
-queueing); within a workspace the earliest deadline goes first.
+Higher priority classes are served first, except that one dispatch in ``LOWEST_CLASS_PERIOD`` serves
+the lowest waiting class, so that no class starves. Within a class, workspaces share by tokens
+(start-time fair queueing); within a workspace, the earliest deadline is served first.
 """
 
 import heapq
@@ -13,14 +13,14 @@
 from quinceferry_core.models import Priority, WorkspaceId
 
 LOWEST_CLASS_PERIOD = 16
-"""One in this many departures goes to the lowest waiting class."""
+"""One dispatch in this number serves the lowest waiting class."""
 
 T = TypeVar("T")
 
 
 @dataclass(slots=True, eq=False)
 class QueueEntry(Generic[T]):
-    """One waiting request; ``deadline`` and ``entered_at`` are in monotonic seconds."""
+    """A queued request; ``deadline`` and ``entered_at`` are in seconds of the monotonic clock."""
 
     item: T
     workspace: WorkspaceId
@@ -32,17 +32,20 @@
 
 @dataclass(slots=True)
 class _WorkspaceQueue(Generic[T]):
-    """Requests of one workspace in one class."""
+    """Requests of one workspace in one class.
+
+    ``finish_tag`` is the virtual finish time of the last dispatched request.
+    """
 
     finish_tag: float = 0.0
     heap: list[tuple[float, int, QueueEntry[T]]] = field(default_factory=list)
 
 
 class FairQueue(Generic[T]):
-    """Waiting requests of one pool of upstreams.
+    """Queue of the requests that wait for one pool of upstreams.
 
-    :param max_entries: requests that may wait at once.
-    :param max_workspace_share: part of the queue that one workspace may fill.
+    :param max_entries: maximum number of queued requests.
+    :param max_workspace_share: fraction of the queue that one workspace may fill.
     """
 
     def __init__(self, max_entries: int, max_workspace_share: float = 0.5) -> None:
@@ -62,40 +65,40 @@
         self._dispatches = 0
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return self._count
 
     def count_in_class(self, priority: Priority) -> int:
-        """Return how many requests of one class wait."""
+        """Return the number of queued requests of one class."""
         return self._count_by_class[priority]
 
     def count_up_to_class(self, priority: Priority) -> int:
-        """Return how many requests of this class and all above it wait."""
+        """Return the number of queued requests of this class and all higher classes."""
         return sum(count for other, count in self._count_by_class.items() if other <= priority)
 
     def has_capacity(self, workspace: WorkspaceId) -> bool:
-        """Return whether a request of this workspace may wait."""
+        """Return whether a request of this workspace can be queued."""
         if self._count >= self._max_entries:
             return False
         return self._count_by_workspace.get(workspace, 0) < self._max_per_workspace
 
     def workspace_is_full(self, workspace: WorkspaceId) -> bool:
-        """Return whether this workspace fills its own part of the queue."""
+        """Return whether this workspace has filled its share of the queue."""
         return self._count_by_workspace.get(workspace, 0) >= self._max_per_workspace
 
     def push(self, waiting: QueueEntry[T]) -> None:
-        """Add a request; the caller has checked the room."""
+        """Add a request; the caller must have checked :meth:`has_capacity`."""
         queue = self._queue_of_workspace(waiting.priority, waiting.workspace)
         self._sequence += 1
         heapq.heappush(queue.heap, (waiting.deadline, self._sequence, waiting))
         self._adjust_counts(waiting, 1)
 
     def peek(self, limit: int) -> list[QueueEntry[T]]:
-        """Return the requests that should leave next, the first one first.
+        """Return the requests that should be dispatched next, in order.
 
-        Each workspace's first request comes before any one's second.
+        The first request of each workspace comes before the second of any workspace.
 
-        :param limit: how many to return at most.
+        :param limit: maximum number of requests.
         """
         found: list[QueueEntry[T]] = []
         for priority in self._class_order():
@@ -110,7 +113,7 @@
         return found[:limit]
 
     def dispatch(self, waiting: QueueEntry[T]) -> None:
-        """Remove a request that leaves for an upstream, and charge its workspace's share."""
+        """Remove a request that is sent to an upstream, and charge its workspace."""
         queues = self._queues_by_class[waiting.priority]
         queue = queues[waiting.workspace]
         min_tag = min(queue.finish_tag for queue in queues.values())
@@ -121,7 +124,10 @@
         self.remove(waiting)
 
     def evict_below(self, priority: Priority) -> QueueEntry[T] | None:
-        """Remove the latest deadline of the lowest class below a priority, or return None."""
+        """Remove the request with the latest deadline of the lowest class below a priority.
+
+        :return: the request, or None if no lower class has one.
+        """
         for lower in sorted(Priority, reverse=True):
             if lower <= priority:
                 return None
@@ -135,7 +141,7 @@
         return None
 
     def remove(self, waiting: QueueEntry[T]) -> bool:
-        """Remove a request that gave up; return whether it was waiting."""
+        """Remove a request without charging its workspace; return whether it was queued."""
         queue = self._queues_by_class[waiting.priority].get(waiting.workspace)
         if queue is None:
             return False
@@ -149,7 +155,7 @@
         return True
 
     def remove_overdue(self, now: float, max_wait_seconds: float) -> list[QueueEntry[T]]:
-        """Remove and return the requests that waited too long or are past their deadline."""
+        """Remove and return the requests that exceed the maximum wait or their deadline."""
         late = [
             waiting
             for queues in self._queues_by_class.values()
@@ -162,7 +168,7 @@
         return late
 
     def _class_order(self) -> list[Priority]:
-        """Return the waiting classes, the highest first but for the lowest one's turn."""
+        """Return the waiting classes, highest first except on the lowest class's turn."""
         classes = [priority for priority in sorted(Priority) if self._queues_by_class[priority]]
         if classes and (self._dispatches + 1) % LOWEST_CLASS_PERIOD == 0:
             return [classes[-1], *classes[:-1]]
@@ -187,9 +193,10 @@
         return queues[workspace]
 
     def _remove_if_empty(self, waiting: QueueEntry[T]) -> None:
-        """Drop an empty queue, but keep its tag while others of its class wait.
+        """Remove a workspace's queue if it is empty.
 
-        Without the tag, a workspace that empties its queue between requests would jump the others.
+        Its finish tag is kept while other workspaces of the class wait. Otherwise a workspace that
+        empties its queue between requests would overtake the others.
         """
         queues = self._queues_by_class[waiting.priority]
         if queues[waiting.workspace].heap:
--- a/packages/quinceferry-core/src/quinceferry_core/reassembly.py
+++ b/packages/quinceferry-core/src/quinceferry_core/reassembly.py
@@ -1,28 +1,28 @@
-"""Puts the chunks of one answer into order, whichever connections brought them."""
+"""Reassembly of the chunks of one answer from several connections."""
 
 from dataclasses import dataclass, field, replace
 
 from quinceferry_core.outcomes import Chunk
 
 MAX_PENDING_CHUNKS = 64
-"""Chunks kept while an earlier one is missing."""
+"""Number of chunks buffered while an earlier one is missing."""
 MAX_COMPARED_CHARS = 16384
-"""Delivered text kept for comparison with a re-run; beyond it no re-run is possible."""
+"""Length of delivered text kept for comparison; a longer answer cannot be run again."""
 
 
 @dataclass(slots=True)
 class Reassembler:
-    """Order of the chunks of one answer by token offset; no token passes twice."""
+    """Orders the chunks of one answer by token offset and delivers every token once."""
 
     next_offset: int = 0
     duplicates: int = 0
     _pending_by_offset: dict[int, Chunk] = field(default_factory=dict)
 
     def accept(self, chunk: Chunk) -> list[Chunk]:
-        """Return the chunks that may be delivered now, in order.
+        """Accept a chunk and return the chunks that can be delivered now, in order.
 
-        A chunk that begins before what was delivered and ends after it cannot be cut by tokens; it
-        is dropped, and a resume fetches what is missing.
+        A chunk that overlaps the end of the delivered tokens cannot be split by tokens. It is
+        dropped, and a resume fetches the missing tokens.
         """
         if not chunk.tokens:
             return [chunk] if chunk.offset >= self.next_offset else []
@@ -34,15 +34,15 @@
         return self._pop_deliverable()
 
     def has_gap(self) -> bool:
-        """Return whether a chunk waits for one before it."""
+        """Return whether a chunk is waiting for an earlier one."""
         return bool(self._pending_by_offset)
 
     def is_full(self) -> bool:
-        """Return whether so many chunks wait that the missing one is not expected any more."""
+        """Return whether the buffer is full, so that the missing chunk is no longer expected."""
         return len(self._pending_by_offset) >= MAX_PENDING_CHUNKS
 
     def clear_pending(self) -> None:
-        """Forget what waits, before a new connection."""
+        """Remove the buffered chunks, before a new connection."""
         self._pending_by_offset.clear()
 
     def _pop_deliverable(self) -> list[Chunk]:
@@ -59,15 +59,15 @@
 
 @dataclass(slots=True)
 class DeliveredText:
-    """Text that reached the caller, to compare a re-run with."""
+    """Text delivered to the caller, for comparison with a re-run."""
 
     tokens: int = 0
     text: str = ""
     is_incomparable: bool = False
-    """Whether something was delivered that no re-run can be compared with."""
+    """Whether something was delivered that cannot be compared with a re-run."""
 
     def add(self, chunk: Chunk) -> None:
-        """Note a delivered chunk; bytes of a service cannot be compared."""
+        """Record a delivered chunk; bytes of a service cannot be compared."""
         self.tokens += chunk.tokens
         fits = len(self.text) + len(chunk.text) <= MAX_COMPARED_CHARS
         if fits and not chunk.data and not self.is_incomparable:
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class ReplayFilter:
-    """Drops the part of a re-run that the caller has, as long as it is the same text."""
+    """Removes from a re-run the text that the caller already has, if it is identical."""
 
     delivered_tokens: int = 0
     delivered_text: str = ""
@@ -87,7 +87,7 @@
     _compared_chars: int = 0
 
     def accept(self, chunk: Chunk) -> Chunk | None:
-        """Return what is new in a chunk of the re-run, or None; sets ``differs``."""
+        """Return the new part of a chunk of the re-run, or None; set ``differs`` on a mismatch."""
         expected = self.delivered_text
         if self._compared_chars >= len(expected) and chunk.offset >= self.delivered_tokens:
             return chunk
--- a/packages/quinceferry-core/src/quinceferry_core/retries.py
+++ b/packages/quinceferry-core/src/quinceferry_core/retries.py
@@ -1,16 +1,16 @@
-"""Budget that bounds retries to a share of all requests."""
+"""Retry budget, which limits retries to a fraction of all requests."""
 
 from dataclasses import dataclass
 
 BURST_RETRIES = 10.0
-"""Retries that may be made at once before the share of requests limits them."""
+"""Number of retries that may be made at once before the share of requests limits them."""
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Bounds re-runs to a share of all requests, so that failures do not multiply load.
+    """Limits retries to a fraction of all requests, so that failures do not multiply the load.
 
-    :param share: retries earned by each request.
+    :param share: retries deposited by each request.
     """
 
     share: float
@@ -18,11 +18,11 @@
     denied: int = 0
 
     def deposit(self) -> None:
-        """Count one request."""
+        """Count a request, which deposits its share of a retry."""
         self.balance = min(BURST_RETRIES, self.balance + self.share)
 
     def try_withdraw(self) -> bool:
-        """Take one retry; return whether there was one."""
+        """Withdraw one retry; return whether one was available."""
         if self.balance < 1.0:
             self.denied += 1
             return False
--- a/packages/quinceferry-core/src/quinceferry_core/routing.py
+++ b/packages/quinceferry-core/src/quinceferry_core/routing.py
@@ -1,6 +1,6 @@
-"""Choice of an upstream from lagging load reports, own history and believed cache content.
+"""Selection of an upstream from lagging load reports, own requests and estimated cache content.
 
-All functions are pure but for :class:`InFlightTracker`, which remembers what this router sent.
+All functions are pure. :class:`InFlightTracker` keeps the requests that this router sent.
 """
 
 import hashlib
@@ -16,23 +16,23 @@
 from quinceferry_core.models import ModelRef, UpstreamId
 
 ENDED_RETENTION_SECONDS = 10.0
-"""How long ended requests are remembered, to compare them with late reports."""
+"""How long ended requests are kept, for comparison with late reports."""
 MAX_YIELDED_SHARE = 0.25
-"""Part of the slots that a router above its equal part leaves to the others."""
+"""Fraction of the slots that a router above its equal share leaves to the others."""
 LOAD_UNCERTAINTY = 0.1
-"""Part of the slots that others may have taken unseen."""
+"""Fraction of the slots that others may have taken since the report."""
 MAX_CACHED_RANKINGS = 1024
-"""Rankings of upstreams that are kept, so that waiting requests need not compute them again."""
+"""Number of cached rankings of upstreams, which waiting requests need repeatedly."""
 GROWTH_SMOOTHING = 0.3
-"""Weight of the latest report in the smoothed growth of other routers' load."""
+"""Weight of the latest report in the smoothed growth of the other routers' load."""
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request that this router sent; times are in monotonic seconds.
+    """A request that this router sent; times are in seconds of the monotonic clock.
 
     ``prefill_tokens`` are the prompt tokens not expected in the engine's cache; ``sent_at`` is
-    infinite until the request is on its way.
+    infinite until the request is sent.
     """
 
     prefill_tokens: int
@@ -45,36 +45,36 @@
         return self.sent_at <= instant and (self.ended_at is None or self.ended_at > instant)
 
     def prefilling_at(self, instant: float) -> bool:
-        """Return whether the request waited for its first token at that time."""
+        """Return whether the request was waiting for its first token at that time."""
         started = self.first_token_at is not None and self.first_token_at <= instant
         return self.in_flight_at(instant) and not started
 
 
 @dataclass(slots=True)
 class InFlightTracker:
-    """What this router has at one upstream, and had at the time of a late report."""
+    """Requests of this router at one upstream, now and at the time of a late report."""
 
     in_flight_by_key: dict[RequestKey, SentRequest] = field(default_factory=dict)
     _recently_ended: deque[SentRequest] = field(default_factory=deque)
 
     def record_placement(self, key: RequestKey, prefill_tokens: int) -> None:
-        """Note a request that will be sent; it takes a slot from now on."""
+        """Record a request that will be sent; it occupies a slot from now on."""
         self.in_flight_by_key[key] = SentRequest(prefill_tokens, math.inf)
 
     def record_sent(self, key: RequestKey, now: float) -> None:
-        """Note that a placed request is on its way, and may be in reports from now on."""
+        """Record that a placed request was sent; load reports may include it from now on."""
         request = self.in_flight_by_key.get(key)
         if request is not None:
             request.sent_at = now
 
     def record_first_token(self, key: RequestKey, now: float) -> None:
-        """Note the first token of an answer; later ones change nothing."""
+        """Record the first token of an answer; later tokens have no effect."""
         request = self.in_flight_by_key.get(key)
         if request is not None and request.first_token_at is None:
             request.first_token_at = now
 
     def record_end(self, key: RequestKey, now: float) -> None:
-        """Note that a request is no longer at the upstream."""
+        """Record that a request is no longer at the upstream."""
         request = self.in_flight_by_key.pop(key, None)
         if request is None:
             return
@@ -87,20 +87,20 @@
             self._recently_ended.popleft()
 
     def in_flight(self) -> int:
-        """Return how many requests are there now."""
+        """Return the number of requests at the upstream."""
         return len(self.in_flight_by_key)
 
     def in_flight_at(self, instant: float) -> int:
-        """Return how many requests were there at an earlier time."""
+        """Return the number of requests at the upstream at an earlier time."""
         return sum(request.in_flight_at(instant) for request in self._all_requests())
 
     def prefill_tokens(self) -> int:
-        """Return the prompt tokens sent whose first token has not come."""
+        """Return the uncached prompt tokens of the requests without a first token."""
         waiting = (r for r in self.in_flight_by_key.values() if r.first_token_at is None)
         return sum(request.prefill_tokens for request in waiting)
 
     def prefill_tokens_at(self, instant: float) -> int:
-        """Return the same for an earlier time."""
+        """Return the uncached prompt tokens without a first token at an earlier time."""
         return sum(r.prefill_tokens for r in self._all_requests() if r.prefilling_at(instant))
 
     def _all_requests(self) -> list[SentRequest]:
@@ -109,9 +109,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CorrectedLoad:
-    """Load of one upstream now, as well as this router can tell.
+    """Estimate of an upstream's current load.
 
-    ``others`` and ``others_tokens`` are what the report holds beyond this router's own requests.
+    ``others`` and ``others_tokens`` are the requests and tokens of other routers in the report.
     """
 
     slots: int
@@ -131,15 +131,15 @@
     prefill_rate: float,
     default_slots: int,
 ) -> CorrectedLoad:
-    """Correct a late report by what this router sent and saw end since.
+    """Correct a late report by the requests that this router has sent and that ended since.
 
-    A report below what this router alone had there is wrong; then all routers are assumed to have
-    sent as much as this one.
+    A report of less than half of this router's own requests is wrong. All routers are then assumed
+    to have sent as much as this one.
 
-    :param sampled_at: when the engine took the report, in monotonic seconds.
-    :param routers: live routers, this one included.
-    :param prefill_rate: prompt tokens the engine reads a second.
-    :param default_slots: slots of an upstream that reports none.
+    :param sampled_at: when the engine sampled its load, in seconds of the monotonic clock.
+    :param routers: number of live routers, including this one.
+    :param prefill_rate: prompt tokens that the engine prefills per second.
+    :param default_slots: number of slots of an upstream that reports none.
     """
     own_now = tracker.in_flight()
     own_tokens_now = tracker.prefill_tokens()
@@ -160,9 +160,9 @@
 
 
 def smoothed_growth(previous: float, before: int, after: int, elapsed: float) -> float:
-    """Return the smoothed growth of other routers' requests at an upstream, in requests a second.
+    """Return the smoothed growth of other routers' requests at an upstream, in requests per second.
 
-    A fall counts as no growth: what others free, anyone may take.
+    A decrease counts as no growth, since any router may take the freed slots.
     """
     latest = max(0.0, (after - before) / elapsed) if elapsed > 0 else 0.0
     return previous + GROWTH_SMOOTHING * (latest - previous)
@@ -175,14 +175,14 @@
     routers: int,
     growth_since_report: float,
 ) -> float:
-    """Return how many requests this router may still send to an upstream.
+    """Return how many more requests this router may send to an upstream.
 
-    The free slots less what the others are expected to have taken since the report. A router above
-    its equal part leaves some of them to others; one below it may use every slot there is, so that
-    it does not starve behind quicker ones.
+    These are the free slots minus those that others are expected to have taken since the report. A
+    router above its equal share leaves some of them to others. A router below its equal share may
+    use the rest of it in any case, so that it does not starve behind faster routers.
 
     :param usable_slots: slots that the request's class may fill, more or fewer than there are.
-    :param own_requests: requests that this router has there.
+    :param own_requests: number of this router's requests at the upstream.
     :param growth_since_report: requests that others are expected to have added.
     """
     free = usable_slots - load.occupied - growth_since_report
@@ -194,7 +194,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """An upstream that may take the request, with all that its cost depends on."""
+    """An upstream that can run the request, with the inputs of its cost."""
 
     upstream: UpstreamId
     load: CorrectedLoad
@@ -206,7 +206,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CostModel:
-    """Converts a candidate's state into expected seconds to the first token."""
+    """Estimates the cost of a candidate as the expected time to the first token, in seconds."""
 
     prefill_rate: float
     other_zone_penalty_seconds: float
@@ -219,9 +219,9 @@
     def cost_seconds(
         self, candidate: Candidate, prompt_tokens: int, *, urgent: bool = False
     ) -> float:
-        """Return the expected seconds until the first token, with the delay caused to others.
+        """Return the expected seconds to the first token, including the delay caused to others.
 
-        :param urgent: whether the delay of others' tokens counts little beside the own wait.
+        :param urgent: whether the request's own wait outweighs the delay of others' tokens.
         """
         load = candidate.load
         uncached = max(1, prompt_tokens - candidate.cached_tokens)
@@ -240,9 +240,10 @@
 
 
 def expected_waiting_requests(load: CorrectedLoad) -> float:
-    """Return how many requests are expected to wait for a slot, one more included.
+    """Return how many requests, including one more, are expected to wait for a slot.
 
-    What others sent since the report is not known; so the count rises before all slots are taken.
+    Requests that others sent since the report are unknown, so that the expected number rises before
+    all slots are occupied.
     """
     margin = LOAD_UNCERTAINTY * load.slots
     return max(0.0, load.occupied + 1 + margin - load.slots) / (1.0 + margin)
@@ -254,13 +255,14 @@
     count: int,
     rng: random.Random,
 ) -> list[Candidate]:
-    """Choose which candidates are compared: a random few, the best cached, the prefix's homes.
+    """Sample the candidates to compare: random ones, the best cached one and the prefix's homes.
 
-    Random samples keep routers that read the same report from all choosing the same upstream. The
-    homes of a prefix let routers that never met agree where it is cached.
+    Random samples prevent routers that read the same report from all choosing the same upstream.
+    The homes of a prefix are the same on every router, so that all routers find where it is cached
+    without communication.
 
-    :param home_order: the first upstreams in the prefix's own ranking.
-    :param count: random candidates to compare.
+    :param home_order: the first upstreams in the ranking of the prefix.
+    :param count: number of random candidates.
     """
     chosen = {c.upstream: c for c in rng.sample(list(candidates), min(count, len(candidates)))}
     best_cached = max(candidates, key=lambda candidate: candidate.cached_tokens)
@@ -273,12 +275,15 @@
 
 
 def rendezvous_order(key: str, upstreams: Sequence[UpstreamId]) -> list[UpstreamId]:
-    """Rank upstreams by a hash with a key: the same on every router, and stable as sets change."""
+    """Rank upstreams by rendezvous hashing with a key.
+
+    The order is the same on every router and stable when upstreams are added or removed.
+    """
     return list(_rendezvous_order(key, tuple(upstreams)))
 
 
 def model_is_loaded(wanted: ModelRef, loaded: Sequence[ModelRef]) -> bool:
-    """Return whether a loaded model serves a request; an unnamed version accepts any."""
+    """Return whether a loaded model serves the wanted one; without a version, any matches."""
     return any(
         loaded_model.model == wanted.model
         and loaded_model.adapter == wanted.adapter
--- a/packages/quinceferry-core/src/quinceferry_core/snapshots.py
+++ b/packages/quinceferry-core/src/quinceferry_core/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the configuration, split so that no stored value grows past the service's limit."""
+"""Snapshots of the configuration, split into shards below the store's limit of a value's size."""
 
 from collections.abc import Iterable, Iterator
 
@@ -9,27 +9,27 @@
 from quinceferry_core.models import Configuration, OperationId
 
 MAX_SHARD_BYTES = 400_000
-"""Size above which a shard is closed; well below one megabyte, so that one more item fits."""
+"""Size above which a shard is complete; far enough below one megabyte that one more item fits."""
 
 StoredObject = PutWorkspace | PutModel | PutUpstream
 
 
 class ObjectItem(msgspec.Struct, frozen=True, tag="object"):
-    """One present object with the revision of its last change."""
+    """A present object with the revision of its last change."""
 
     put: StoredObject
     revision: int
 
 
 class RemovedItem(msgspec.Struct, frozen=True, tag="removed"):
-    """One removed object with the revision of its removal."""
+    """A removed object with the revision of its removal."""
 
     object_key: str
     revision: int
 
 
 class OperationItem(msgspec.Struct, frozen=True, tag="operation"):
-    """One remembered operation."""
+    """A retained operation."""
 
     operation_id: OperationId
     operation: AppliedOperation
@@ -39,7 +39,7 @@
 
 
 class SnapshotRef(msgspec.Struct, frozen=True):
-    """Names a snapshot; revision zero is the empty one, which has no shards."""
+    """Reference to a snapshot; revision zero is the empty snapshot, which has no shards."""
 
     revision: int = 0
     shards: int = 0
@@ -48,7 +48,7 @@
 def encode_shards(state: ConfigurationState) -> list[bytes]:
     """Encode a state as one or more values of bounded size.
 
-    :param state: the state; equal states give equal shards.
+    :param state: the state; equal states result in equal shards.
     :return: JSON arrays of items.
     """
     shards: list[bytes] = []
@@ -64,7 +64,7 @@
 
 
 def decode_shards(revision: int, shards: Iterable[bytes]) -> ConfigurationState:
-    """Read back what :func:`encode_shards` wrote.
+    """Decode the shards that :func:`encode_shards` returned.
 
     :param revision: revision of the snapshot.
     :param shards: all shards, in order.
--- a/packages/quinceferry-core/src/quinceferry_core/tickets.py
+++ b/packages/quinceferry-core/src/quinceferry_core/tickets.py
@@ -1,4 +1,4 @@
-"""Signed tickets that name the only router allowed to run a non-idempotent request."""
+"""Signed tickets, each naming the only router that may run a non-idempotent request."""
 
 import base64
 import hashlib
@@ -14,22 +14,22 @@
 
 
 class TicketSigner:
-    """Writes and reads tickets with a secret shared by the fleet."""
+    """Issues and verifies tickets with a secret shared by the fleet."""
 
     def __init__(self, secret: str) -> None:
         self._key = hashlib.blake2b(secret.encode(), person=b"qf-ticket").digest()
 
     def issue(self, ticket: Ticket) -> str:
-        """Return the ticket as URL-safe text."""
+        """Return the signed ticket as URL-safe text."""
         body = base64.urlsafe_b64encode(msgspec.json.encode(ticket)).decode()
         return f"{body}{_SEPARATOR}{self._sign(body)}"
 
     def verify(self, text: str) -> Result[Ticket, str]:
-        """Check and read a ticket.
+        """Verify and decode a ticket.
 
-        An expired ticket is still read: it goes on naming the only home of its requests.
+        An expired ticket is accepted, because it still names the only home of its requests.
 
-        :return: the ticket, or what is wrong with it.
+        :return: the ticket, or why it is not valid.
         """
         body, _, signature = text.rpartition(_SEPARATOR)
         if not hmac.compare_digest(signature.encode(), self._sign(body).encode()):
