--- a/features/explain.feature
+++ b/features/explain.feature
@@ -8,7 +8,7 @@
     When request 8caa is explained
     Then the story tells in order store.lost, request.refused
     And it says "5.3 s before"
-    And the cause says "nothing can be drawn while the store is away"
+    And the cause says "none can be drawn while the store is unavailable"
     And the cause says "needed 5331 tokens; 4776 were offered"
 
   Scenario: A request whose outcome is unknown after a lost answer
--- a/features/steps/client.py
+++ b/features/steps/client.py
@@ -299,7 +299,7 @@
 @then("both faults are told with their keys")
 def check_faults(context):
     assert "router: unknown key" in context.fault_text, context.fault_text
-    assert "zone: must be a text" in context.fault_text, context.fault_text
+    assert "zone: must be a string" in context.fault_text, context.fault_text
 
 
 def _run_client(context, work):
--- a/packages/quinceferry-cli/src/quinceferry/addresses.py
+++ b/packages/quinceferry-cli/src/quinceferry/addresses.py
@@ -1,4 +1,4 @@
-"""Which router to use, as the fleet itself answers, cached for as long as the answer holds."""
+"""Discovery of the routers to use, with a cache for the fleet's address answers."""
 
 import random
 from collections.abc import Sequence
@@ -12,17 +12,17 @@
 
 ADDRESS_PATH = "/v1/address"
 ADDRESS_TIMEOUT_SECONDS = 5.0
-"""Time allowed to one router for an address answer."""
+"""Timeout of an address request to one router."""
 
 
 def base_url(address: str) -> str:
-    """Return the base URL of a router's address, which may lack its scheme."""
+    """Return the base URL of a router's address, whose scheme may be missing."""
     url = address if "://" in address else f"http://{address}"
     return url.rstrip("/")
 
 
 class AddressAnswer(msgspec.Struct, frozen=True):
-    """Base URLs to use, best first, for how long, and the ticket to send with each request."""
+    """Base URLs to use, best first, how long they are valid, and the ticket for the requests."""
 
     addresses: list[str]
     ttl_seconds: float
@@ -32,11 +32,11 @@
 class AddressCache:
     """Caches the address answer of one workspace.
 
-    :param http: connections, with the workspace's key in their headers.
-    :param routers: base URLs of some routers, of which one must answer.
-    :param clock: tells when the answer is stale.
-    :param generator: spreads callers over the given routers.
-    :param zone: availability zone of the caller, or empty.
+    :param http: HTTP client that sends the workspace's key in its headers.
+    :param routers: base URLs of some routers, at least one of which must answer.
+    :param clock: clock for the expiry of the answer.
+    :param generator: random generator, which spreads callers over the given routers.
+    :param zone: availability zone of the caller; empty when unknown.
     """
 
     def __init__(
@@ -56,9 +56,9 @@
         self._expires_at = 0.0
 
     async def get(self) -> AddressAnswer:
-        """Return the cached answer, or ask for a new one when it is stale.
+        """Return the cached answer, or request a new one when it has expired.
 
-        :raises RefusedError: the key is wrong.
+        :raises RefusedError: the key is not valid.
         :raises RouterUnreachableError: no router answered.
         """
         now = self._clock.monotonic()
@@ -68,11 +68,11 @@
         return self._answer
 
     def invalidate(self) -> None:
-        """Ask again at the next read, because the addresses in the answer failed."""
+        """Request a new answer at the next call, because the addresses of this one failed."""
         self._expires_at = 0.0
 
     async def _fetch(self) -> AddressAnswer:
-        """Ask routers in turn until one answers; those of the last answer are asked too."""
+        """Request an answer from one router after the other, including those of the last answer."""
         last_addresses = self._answer.addresses if self._answer else []
         routers = list(dict.fromkeys([*self._routers, *map(base_url, last_addresses)]))
         self._generator.shuffle(routers)
@@ -89,7 +89,7 @@
         raise failure or RouterUnreachableError("no router is known", step="address")
 
     async def _fetch_from(self, router: str) -> AddressAnswer:
-        """Ask one router."""
+        """Request an answer from one router."""
         url = f"{router}{ADDRESS_PATH}"
         try:
             response = await self._http.get(
@@ -106,7 +106,7 @@
             return msgspec.json.decode(response.content, type=AddressAnswer)
         except msgspec.DecodeError as error:
             raise RouterUnreachableError(
-                f"unreadable answer: {error}",
+                f"malformed answer: {error}",
                 request=response.request,
                 response=response,
                 step="address",
--- a/packages/quinceferry-cli/src/quinceferry/attempts.py
+++ b/packages/quinceferry-cli/src/quinceferry/attempts.py
@@ -1,4 +1,4 @@
-"""Repeating one caller request safely: same request id, same ticket, another address."""
+"""Safe retries of one request: same request id, same ticket, another address."""
 
 import random
 import uuid
@@ -24,15 +24,15 @@
 PRIORITY_HEADER = "X-Quinceferry-Priority"
 
 JOURNAL_CLOSED_PROOF = "journal_closed_without_it"
-"""Proof that the home of a request has not run it and never will."""
+"""Proof that the home router of a request has not run it and never will."""
 
 FailureHook = Callable[[RequestError], None]
-"""Receives the error of a failed attempt."""
+"""Callback for the error of a failed attempt."""
 
 
 @dataclass(slots=True, frozen=True)
 class PreparedCall:
-    """One request as it is sent, whatever the attempt."""
+    """The parts of a request that are the same in all of its attempts."""
 
     method: str
     path: str
@@ -43,18 +43,16 @@
 
 
 class RetrySequence:
-    """Decides where each attempt of one call goes and whether another may follow.
-
-    While an attempt may have begun, its ticket stays with the request: a later one might name
-    another home, which would know nothing of it. Once every attempt is told not to have run, the
-    request takes a new ticket, since a home keeps to its refusal of the old one. The closed journal
-    of a home proves that none of the attempts there ran.
-
-    :param call: the call.
-    :param address_cache: address answers.
-    :param policy: number of attempts and delays.
-    :param clock: waits between attempts.
-    :param generator: source of jitter.
+    """Chooses the router of each attempt of one call and decides whether another may follow.
+
+    As long as an attempt may have begun, the request keeps its ticket: a new ticket might name
+    another home router, which does not know the attempt. Once it is proven that no attempt has
+    run, the request gets a new ticket, since a home router repeats its refusal for the old one. The
+    closed journal of a home router proves that none of the attempts there ran.
+
+    :param policy: number of attempts and delays between them.
+    :param clock: clock for the delays.
+    :param generator: random generator for the jitter.
     :param on_failure: called with the error of each failed attempt.
     """
 
@@ -78,7 +76,7 @@
         self.attempts_made = 0
 
     async def next_request(self, http: httpx.AsyncClient) -> httpx.Request:
-        """Build the next attempt."""
+        """Build the request of the next attempt."""
         answer = await self._read_addresses()
         if self._ticket is None:
             self._ticket = answer.ticket
@@ -92,9 +90,9 @@
         )
 
     async def wait_or_raise(self, error: RequestError) -> None:
-        """Wait before another attempt, or raise when none may follow.
+        """Wait before the next attempt, or raise when none may follow.
 
-        :param error: how the last attempt failed.
+        :param error: error of the last attempt.
         """
         if self._on_failure is not None:
             self._on_failure(error)
@@ -112,7 +110,7 @@
         await self._clock.sleep(delay)
 
     async def _read_addresses(self) -> AddressAnswer:
-        """Read the addresses; routers that can't be reached are asked again."""
+        """Return the addresses, with retries while no router can be reached."""
         while True:
             try:
                 answer = await self._address_cache.get()
@@ -125,17 +123,17 @@
             self._address_cache.invalidate()
             self.attempts_made += 1
             await self.wait_or_raise(
-                RouterUnreachableError("no router takes requests", step="address")
+                RouterUnreachableError("no router accepts requests", step="address")
             )
 
     def _discard_ticket(self) -> None:
-        """Have the next attempt of a non-idempotent request ask for addresses again."""
+        """Discard a non-idempotent request's ticket, so that the next attempt gets a new one."""
         if not self._call.idempotent:
             self._address_cache.invalidate()
             self._ticket = None
 
     def _headers(self) -> dict[str, str]:
-        """Return the headers of every attempt."""
+        """Return the headers of the next attempt."""
         headers = {REQUEST_ID_HEADER: self._call.request_id, **self._call.headers}
         headers[NON_IDEMPOTENT_HEADER] = "false" if self._call.idempotent else "true"
         if self._ticket:
@@ -143,7 +141,10 @@
         return headers
 
     def _final_error(self, error: RequestError) -> RequestError:
-        """Return what the caller is told; silence after a send never becomes "not run"."""
+        """Return the error for the caller.
+
+        A missing answer after a send is never reported as a request that did not run.
+        """
         if isinstance(error, RefusedError) or self._call.idempotent or not self._may_have_begun:
             return error
         return OutcomeUnknownError(
@@ -157,14 +158,14 @@
 
 
 def _may_have_begun(error: RequestError) -> bool:
-    """Tell whether an upstream may have begun the request in a failed attempt."""
+    """Return whether an upstream may have begun the request in a failed attempt."""
     if isinstance(error, RefusedError):
         return error.outcome != "not_run"
     return not isinstance(error.__cause__, httpx.ConnectError | httpx.ConnectTimeout)
 
 
 def _retry_after_seconds(error: RequestError) -> float | None:
-    """Return the least delay before another attempt, or None when none may follow."""
+    """Return the minimum delay before another attempt, or None when none may follow."""
     if isinstance(error, RefusedError):
         return error.retry_after_seconds or None
     return 0.0
--- a/packages/quinceferry-cli/src/quinceferry/caller_commands.py
+++ b/packages/quinceferry-cli/src/quinceferry/caller_commands.py
@@ -1,4 +1,4 @@
-"""Commands of callers."""
+"""Commands for callers."""
 
 import asyncio
 import sys
@@ -14,7 +14,7 @@
 @click.command("address")
 @click.pass_obj
 def address(configuration: ClientConfiguration) -> None:
-    """Show which addresses to use, for how long, and the ticket to send back."""
+    """Show the addresses to use, how long they are valid, and the ticket to send."""
 
     async def work() -> None:
         async with _client(configuration) as client:
@@ -27,12 +27,12 @@
 @click.command("ask")
 @click.argument("model")
 @click.argument("prompt", default="-")
-@click.option("--max-tokens", type=int, help="Greatest number of output tokens.")
-@click.option("--chat/--completion", default=True, help="Shape of the request.")
-@click.option("--stream/--whole", default=True, help="Print pieces as they come.")
+@click.option("--max-tokens", type=int, help="Maximum number of output tokens.")
+@click.option("--chat/--completion", default=True, help="Format of the request.")
+@click.option("--stream/--whole", default=True, help="Print the answer as it arrives.")
 @click.option("--priority", type=click.Choice(["high", "normal", "low"]), default=None)
 @click.option("--non-idempotent", is_flag=True, help="Never run the request twice.")
-@click.option("--request-id", default="", help="Name of the request; a new one if absent.")
+@click.option("--request-id", default="", help="Identifier of the request; a new one if absent.")
 @click.pass_obj
 def ask(
     configuration: ClientConfiguration,
@@ -43,7 +43,7 @@
     priority: str | None,
     **options: Any,
 ) -> None:
-    """Ask MODEL; PROMPT is read from standard input when absent or ``-``."""
+    """Send PROMPT to MODEL; it is read from standard input when absent or ``-``."""
     text = sys.stdin.read() if prompt == "-" else prompt
     options.update(idempotent=not non_idempotent, priority=priority or "")
     asyncio.run(_ask(configuration, model, text, stream, options))
@@ -56,7 +56,7 @@
     stream: bool,
     options: dict[str, Any],
 ) -> None:
-    """Print the answer, in pieces or whole."""
+    """Print the answer, as it arrives or once it is complete."""
     async with _client(configuration) as client:
         if stream:
             async for piece in client.stream(model, prompt, **options):
--- a/packages/quinceferry-cli/src/quinceferry/client.py
+++ b/packages/quinceferry-cli/src/quinceferry/client.py
@@ -1,4 +1,4 @@
-"""Client of the callers' interface."""
+"""Client of the caller API."""
 
 import random
 from collections.abc import AsyncIterator, Sequence
@@ -21,12 +21,12 @@
 SERVICE_PATH = "/services"
 CONNECT_TIMEOUT_SECONDS = 3.0
 READ_TIMEOUT_SECONDS = 120.0
-"""Longest silence of a router before an attempt counts as failed."""
+"""Time without data from a router after which an attempt fails."""
 MAX_CONNECTIONS = 512
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer of a model."""
+    """A complete answer of a model."""
 
     request_id: str
     text: str
@@ -35,7 +35,7 @@
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True):
-    """A whole answer of a plain service."""
+    """A complete answer of a plain service."""
 
     request_id: str
     status: int
@@ -46,14 +46,14 @@
 class Client(Session):
     """Sends the requests of one workspace.
 
-    Failed attempts are repeated at another router under the same request id and ticket, so a
-    request is run and billed once however often it is sent.
+    Failed attempts are retried at another router with the same request id and ticket, so that a
+    request runs and is billed once, however often it is sent.
 
     :param routers: base URLs of some routers of the fleet.
     :param key: the workspace's key.
-    :param zone: availability zone of this caller, or empty.
-    :param on_failed_attempt: called with the error of each failed attempt, also of those that are
-        repeated.
+    :param zone: availability zone of this caller; empty when unknown.
+    :param on_failed_attempt: called with the error of each failed attempt, including those that are
+        retried.
     """
 
     def __init__(
@@ -80,14 +80,14 @@
         self._address_cache = AddressCache(self._http, routers, self._clock, self._generator, zone)
 
     async def addresses(self) -> AddressAnswer:
-        """Return which addresses to use; cached for as long as the answer holds."""
+        """Return the addresses to use, from the cache while they are valid."""
         return await self._address_cache.get()
 
     async def ask(self, model: str, prompt: str, **options: Any) -> Answer:
-        """Ask a model and return its whole answer.
+        """Send a prompt to a model and return its complete answer.
 
         :param model: ``model[:adapter][@version]``.
-        :param prompt: what the model reads, as the only message of a chat.
+        :param prompt: the prompt; the only message of a chat.
         :param options: as for :func:`model_call`.
         :raises RefusedError: the fleet refused the request.
         :raises RouterUnreachableError: no router answered.
@@ -97,19 +97,19 @@
         try:
             piece = read_piece(response.content)
         except msgspec.DecodeError as error:
-            detail = f"unreadable answer: {error}"
+            detail = f"malformed answer: {error}"
             raise AnswerBrokenError(
                 detail, request=response.request, response=response, step="ask"
             ) from error
         return Answer(call.request_id, piece.text, piece.finish_reason, piece.usage)
 
     async def stream(self, model: str, prompt: str, **options: Any) -> AsyncIterator[Piece]:
-        """Ask a model and return the pieces of its answer as they come.
+        """Send a prompt to a model and yield the pieces of its answer as they arrive.
 
-        When an attempt breaks off, the next one begins anew and the text already returned is left
-        out. Parameters and errors are those of :meth:`ask`.
+        When an attempt is interrupted, the next one starts from the beginning and the text already
+        returned is skipped. Parameters and errors are those of :meth:`ask`.
 
-        :raises AnswerBrokenError: a repeated answer does not begin with the text returned before.
+        :raises AnswerBrokenError: a retried answer does not begin with the text already returned.
         """
         call = model_call(model, prompt, stream=True, **options)
         attempts = self._new_attempts(call)
@@ -127,7 +127,9 @@
             except RequestError as error:
                 await attempts.wait_or_raise(error)
                 continue
-            raise AnswerBrokenError("a repeated answer differs from its first part", step="stream")
+            raise AnswerBrokenError(
+                "the retried answer differs from the text already returned", step="stream"
+            )
 
     async def call_service(
         self,
@@ -142,10 +144,10 @@
     ) -> ServiceAnswer:
         """Call a plain service through the fleet.
 
-        :param service: its name.
-        :param path: path below the service's root, beginning with a slash.
+        :param service: name of the service.
+        :param path: path below the service's root, with a leading slash.
         :param idempotent: whether the call may run more than once.
-        :return: the service's own answer, whatever its status.
+        :return: the answer of the service, whatever its status.
         :raises OutcomeUnknownError: a non-idempotent call may or may not have run.
         """
         request_id_option = {"request_id": request_id} if request_id else {}
@@ -164,7 +166,7 @@
         )
 
     async def _send(self, call: PreparedCall) -> httpx.Response:
-        """Send a call until it has a whole answer."""
+        """Send a call, with retries, and return its complete answer."""
         attempts = self._new_attempts(call)
         while True:
             request = await attempts.next_request(self._http)
@@ -184,7 +186,7 @@
         return response
 
     async def _stream_pieces(self, attempts: RetrySequence) -> AsyncIterator[Piece]:
-        """Send one attempt and return the pieces of its answer."""
+        """Send one attempt and yield the pieces of its answer."""
         request = await attempts.next_request(self._http)
         try:
             response = await self._http.send(request, stream=True)
@@ -197,7 +199,7 @@
                 yield piece
         except httpx.TransportError as error:
             raise AnswerBrokenError(
-                f"the stream broke: {type(error).__name__} {error}",
+                f"the stream was interrupted: {type(error).__name__} {error}",
                 request=request,
                 response=response,
                 step="stream",
@@ -206,7 +208,7 @@
             await response.aclose()
 
     def _new_attempts(self, call: PreparedCall) -> RetrySequence:
-        """Return the attempts of a new call."""
+        """Return the retry sequence of a new call."""
         return RetrySequence(
             call,
             self._address_cache,
@@ -229,15 +231,15 @@
     request_id: str = "",
     extra: dict[str, Any] | None = None,
 ) -> PreparedCall:
-    """Return the call that asks a model.
+    """Return the call that sends a prompt to a model.
 
-    :param stream: whether the answer comes in pieces.
-    :param max_tokens: greatest number of output tokens; the model's default if absent.
-    :param chat: whether to ask as a chat or as a text completion.
+    :param stream: whether the answer is streamed.
+    :param max_tokens: maximum number of output tokens; the model's default if absent.
+    :param chat: whether the request is a chat or a text completion.
     :param idempotent: whether the request may run more than once.
     :param priority: ``high``, ``normal`` or ``low``; the workspace's own if empty.
-    :param request_id: name of the request; a new one if empty.
-    :param extra: further fields of the body.
+    :param request_id: identifier of the request; a new one if empty.
+    :param extra: additional fields of the body.
     """
     document: dict[str, Any] = {"model": model, "stream": stream, **(extra or {})}
     if chat:
@@ -260,6 +262,6 @@
 
 
 def _no_answer_error(request: httpx.Request, error: httpx.TransportError) -> RouterUnreachableError:
-    """Return the error of an attempt without an answer."""
+    """Return the error for an attempt without an answer."""
     detail = f"no answer: {type(error).__name__} {error}"
     return RouterUnreachableError(detail, request=request, step="send")
--- a/packages/quinceferry-cli/src/quinceferry/configuration.py
+++ b/packages/quinceferry-cli/src/quinceferry/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration of the command line, from flags, environment and a TOML file, in that order."""
+"""Configuration of the command line: options, then the environment, then a TOML file."""
 
 import tomllib
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 import click
 
 DEFAULT_PATH = Path.home() / ".config" / "quinceferry" / "client.toml"
-"""Read when no other file is named, if it exists."""
+"""Configuration file that is read if it exists and no other file is given."""
 
 _ALLOWED_KEYS = frozenset({"routers", "operator_key", "workspace_key", "zone"})
 
 
 @dataclass(slots=True, frozen=True)
 class ClientConfiguration:
-    """Where the fleet is and which keys to show it."""
+    """Addresses of the fleet, and the keys for its APIs."""
 
     routers: tuple[str, ...]
     operator_key: str = ""
@@ -23,30 +23,34 @@
     zone: str = ""
 
     def require_routers(self) -> tuple[str, ...]:
-        """Return the routers, or end the command."""
+        """Return the routers; end the command with an error if there are none."""
         if not self.routers:
-            raise click.UsageError("name a router: --router, QUINCEFERRY_ROUTERS or the file")
+            raise click.UsageError("no router given: use --router, QUINCEFERRY_ROUTERS or the file")
         return self.routers
 
     def require_operator_key(self) -> str:
-        """Return the operators' key, or end the command."""
+        """Return the operators' key; end the command with an error if there is none."""
         if not self.operator_key:
-            raise click.UsageError("give the operators' key: QUINCEFERRY_OPERATOR_KEY or the file")
+            raise click.UsageError(
+                "no operator key given: use QUINCEFERRY_OPERATOR_KEY or the file"
+            )
         return self.operator_key
 
     def require_workspace_key(self) -> str:
-        """Return the workspace's key, or end the command."""
+        """Return the workspace's key; end the command with an error if there is none."""
         if not self.workspace_key:
-            raise click.UsageError("give a workspace key: QUINCEFERRY_WORKSPACE_KEY or the file")
+            raise click.UsageError(
+                "no workspace key given: use QUINCEFERRY_WORKSPACE_KEY or the file"
+            )
         return self.workspace_key
 
 
 def read_file(path: Path | None) -> dict[str, Any]:
     """Read the configuration file.
 
-    :param path: the file, or None for the default one, which may be absent.
-    :return: its keys.
-    :raises click.UsageError: it can't be read or holds unknown or ill-typed keys.
+    :param path: the file; None for the default file, which may be absent.
+    :return: values by key.
+    :raises click.UsageError: the file cannot be read, or has unknown keys or values of wrong types.
     """
     if path is None and not DEFAULT_PATH.exists():
         return {}
@@ -62,13 +66,13 @@
 
 
 def _find_errors(table: dict[str, Any]) -> list[tuple[str, str]]:
-    """Return all errors of a file, each with its key."""
+    """Return all errors of a configuration file, each with its key."""
     errors = [(key, "unknown key") for key in table if key not in _ALLOWED_KEYS]
     for key in sorted(_ALLOWED_KEYS & table.keys()):
         value = table[key]
         if key == "routers":
             if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-                errors.append((key, "must be a list of texts"))
+                errors.append((key, "must be a list of strings"))
         elif not isinstance(value, str):
-            errors.append((key, "must be a text"))
+            errors.append((key, "must be a string"))
     return errors
--- a/packages/quinceferry-cli/src/quinceferry/drains.py
+++ b/packages/quinceferry-cli/src/quinceferry/drains.py
@@ -1,4 +1,4 @@
-"""Following a router's graceful stop."""
+"""Progress of a router's graceful stop."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,9 +9,9 @@
 from quinceferry_core.operator_replies import DrainReply, ListRoutersReply, RouterReply
 
 POLL_INTERVAL_SECONDS = 1.0
-"""Time between two looks at the router."""
+"""Interval between two polls of the router's state."""
 STATE_LEFT = "left"
-"""State of a router that has left the fleet."""
+"""State in the reply for a router that has left the fleet."""
 
 
 async def follow_drain(
@@ -23,12 +23,12 @@
 ) -> DrainReply:
     """Drain a router and show its progress.
 
-    :param router: its incarnation or VM.
+    :param router: incarnation or VM of the router.
     :param options: operation id and expected revision, if given.
-    :param show: receives one line for each change of state.
-    :param timeout_seconds: longest wait for its end; zero does not wait.
+    :param show: called with one line for each change of the progress.
+    :param timeout_seconds: maximum wait for the end of the drain; zero does not wait.
     :return: the last known state.
-    :raises ChangePendingError: the router has not left in time.
+    :raises ChangePendingError: the router did not leave in time.
     """
     target = _find_router(await client.call(ListRouters()), router)
     incarnation = target.router if target else router
@@ -51,7 +51,7 @@
 
 
 def _find_router(reply: ListRoutersReply, name: str) -> RouterReply | None:
-    """Return the router of an incarnation or VM name."""
+    """Return the router with this incarnation or VM, or None."""
     for router in reply.routers:
         if name in (router.router, router.vm):
             return router
@@ -59,7 +59,7 @@
 
 
 async def _describe_progress(client: OperatorClient, target: RouterReply) -> str:
-    """Describe how far a router's stop has come, by its own word if it still answers."""
+    """Describe the progress of a router's stop, from its own status if it still answers."""
     try:
         status = await client.call(GetStatus(), router=target.address, max_attempts=1)
     except (OperatorCallError, RouterUnreachableError):
--- a/packages/quinceferry-cli/src/quinceferry/events.py
+++ b/packages/quinceferry-cli/src/quinceferry/events.py
@@ -1,4 +1,4 @@
-"""Reading a streamed answer: server-sent events of an OpenAI-style completion."""
+"""Parsing of streamed answers: server-sent events of an OpenAI-style completion."""
 
 from collections.abc import AsyncIterator
 
@@ -9,7 +9,7 @@
 from quinceferry.refusals import read_refusal
 
 DONE_DATA = "[DONE]"
-"""Data of the event that ends a whole answer."""
+"""Data of the event that ends a complete answer."""
 
 
 class Usage(msgspec.Struct, frozen=True):
@@ -20,7 +20,7 @@
 
     @property
     def total_tokens(self) -> int:
-        """Return prompt and output tokens together."""
+        """Return the sum of prompt and output tokens."""
         return self.prompt_tokens + self.completion_tokens
 
 
@@ -33,7 +33,7 @@
 
 
 class StreamDeduplicator:
-    """Joins the pieces of repeated answers to one request, so that no text is returned twice."""
+    """Removes text that was already returned from the retried answers to one request."""
 
     __slots__ = ("_position", "_returned")
 
@@ -42,13 +42,13 @@
         self._position = 0
 
     def restart(self) -> None:
-        """Expect an answer from its beginning."""
+        """Start with a new answer at its beginning."""
         self._position = 0
 
     def new_part(self, piece: Piece) -> Piece | None:
-        """Return what of a piece is new, or None when it differs from what was returned before.
+        """Return the new part of a piece, or None if it differs from the text already returned.
 
-        A piece without new text is returned for its finish reason and usage.
+        A piece without new text is returned, too, for its finish reason and usage.
         """
         already_returned = self._returned[self._position : self._position + len(piece.text)]
         if not piece.text.startswith(already_returned):
@@ -60,13 +60,13 @@
 
 
 class _Message(msgspec.Struct):
-    """Text of a chat, whole or in pieces."""
+    """Text of a chat message, complete or in pieces."""
 
     content: str | None = None
 
 
 class _Choice(msgspec.Struct):
-    """The single choice of an answer or event."""
+    """The only choice of an answer or event."""
 
     text: str | None = None
     delta: _Message | None = None
@@ -75,7 +75,7 @@
 
 
 class _Document(msgspec.Struct):
-    """A whole answer, or the data of one event."""
+    """A complete answer, or the data of one event."""
 
     choices: list[_Choice] = []
     usage: Usage | None = None
@@ -85,9 +85,9 @@
 
 
 def read_piece(document: bytes | str) -> Piece:
-    """Read a whole answer or the data of one event.
+    """Decode a complete answer or the data of one event.
 
-    :raises msgspec.DecodeError: it is malformed.
+    :raises msgspec.DecodeError: the document is malformed.
     """
     body = _decoder.decode(document)
     if not body.choices:
@@ -98,7 +98,7 @@
 
 
 async def read_pieces(response: httpx.Response) -> AsyncIterator[Piece]:
-    """Read the pieces of a streamed answer.
+    """Yield the pieces of a streamed answer.
 
     :raises RefusedError: the router ended the stream with an error.
     :raises AnswerBrokenError: the stream ended without its last event, or is malformed.
@@ -116,11 +116,11 @@
                 return
             case "data":
                 yield _read_event(response, value)
-    raise _broken_stream_error(response, "the stream ended early")
+    raise _broken_stream_error(response, "the stream ended before its last event")
 
 
 def _read_event(response: httpx.Response, data: str) -> Piece:
-    """Read the data of one event."""
+    """Decode the data of one event."""
     try:
         return read_piece(data)
     except msgspec.DecodeError as error:
@@ -128,5 +128,5 @@
 
 
 def _broken_stream_error(response: httpx.Response, detail: str) -> AnswerBrokenError:
-    """Return the error of a stream that can't be read on."""
+    """Return the error for an incomplete or malformed stream."""
     return AnswerBrokenError(detail, request=response.request, response=response, step="stream")
--- a/packages/quinceferry-cli/src/quinceferry/exceptions.py
+++ b/packages/quinceferry-cli/src/quinceferry/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the client; each carries the request and, if there was one, the response."""
+"""Exceptions of the client; each has the request and the response, if there was one."""
 
 import httpx
 
@@ -9,7 +9,7 @@
 class RequestError(QuinceferryError):
     """Base class of the client's errors.
 
-    :param detail: what went wrong, for people.
+    :param detail: human-readable description of the error.
     :param request: the last request sent, if any.
     :param response: the last response received, if any.
     """
@@ -33,15 +33,15 @@
 
 
 class AnswerBrokenError(RequestError):
-    """An answer broke off or could not be read, and repeating the request did not help."""
+    """An answer was interrupted or malformed, and retries did not succeed."""
 
 
 class RefusedError(RequestError):
     """The fleet refused a request.
 
     ``reason`` is the stable name of the reason, ``outcome`` is ``not_run``, ``run`` or ``unknown``,
-    ``proof`` says how a request is known not to have run, and ``retry_after_seconds`` is zero when
-    a retry cannot help.
+    ``proof`` names the proof that the request has not run, and ``retry_after_seconds`` is zero when
+    a retry cannot succeed.
     """
 
     def __init__(
@@ -64,11 +64,11 @@
 
 
 class OutcomeUnknownError(RefusedError):
-    """The request may or may not have run; it must not be sent under another request id."""
+    """The request may or may not have run; it must not be sent with another request id."""
 
 
 class OperatorCallError(RequestError):
-    """An operator call was refused or failed; ``failure`` says why."""
+    """An operator call was rejected or failed, for the reason in ``failure``."""
 
     def __init__(
         self,
@@ -86,9 +86,9 @@
 
 
 class ChangePendingError(RequestError):
-    """A change was not in force everywhere before the wait ended.
+    """A change was not applied everywhere before the wait timed out.
 
-    ``awaited_routers`` names the incarnations that have not applied it.
+    ``awaited_routers`` lists the incarnations that have not applied it.
     """
 
     def __init__(self, detail: str, awaited_routers: tuple[str, ...] = ()) -> None:
--- a/packages/quinceferry-cli/src/quinceferry/explanations.py
+++ b/packages/quinceferry-cli/src/quinceferry/explanations.py
@@ -1,4 +1,4 @@
-"""The story of one request, told from the log lines of several gateways."""
+"""Explanation of how one request ended, from the log lines of several gateways."""
 
 import json
 import re
@@ -10,13 +10,13 @@
 _GATEWAY_EVENT_PREFIXES = ("store.", "configuration.applied", "gateway.", "log.dropped")
 _UPSTREAM_EVENT_PREFIXES = ("upstream.", "attempt.unknown", "attempt.not_run")
 NEARBY_FAILURE_SECONDS = 2.0
-"""How far from an attempt other failures at its upstream are counted."""
+"""Time around a failed attempt in which other failures at its upstream are counted."""
 _RESERVED_TOKENS = re.compile(r": (\d+) of \d+")
 _OMITTED_FIELDS = frozenset({"vm", "event", "timestamp", "request"})
 
 CAUSE_BY_REASON = {
-    "starting": "The gateway had just started and knew no configuration. It did not run.",
-    "malformed": "The request could not be read. It did not run.",
+    "starting": "The gateway had just started and had no configuration yet. It did not run.",
+    "malformed": "The request was malformed. It did not run.",
     "oversized": "The request exceeds the limits of the configuration. It did not run.",
     "no_route": "The configuration has no route for its host and path. It did not run.",
     "unknown_key": "The configuration has no such workspace key. It did not run.",
@@ -24,28 +24,28 @@
     "quarantined": "The same content has crashed upstreams before. It did not run.",
     "upstreams_limited": "Every remaining upstream limits its request rate. It did not run.",
     "configuration_outdated": (
-        "The gateway knew of a newer configuration than its own, or its own was too old to deny "
-        "anything by it. It did not run."
+        "The gateway knew that a newer configuration exists, or its own was too old to reject "
+        "requests. It did not run."
     ),
-    "upstreams_paused": "Every usable upstream had asked for a pause in requests. It did not run.",
-    "upstreams_refused": "Every upstream that was tried declined it. It did not run.",
-    "outcome_unknown": "It was sent, the answer was lost, and it may not be sent again. It may have"
-    " run: ask the owners of the upstream.",
-    "timed_out": "Its time was up after it had been sent. It may have run.",
-    "timed_out_unsent": "Its time was up before any upstream had it. It did not run.",
-    "internal": "The gateway itself failed; the line request.bug beside it has the error.",
-    "budget_exhausted": "Its workspace has fewer tokens left than it needs at most; tokens of"
-    " gateways that were killed count as spent. It did not run.",
-    "budget_out_of_reach": "The gateways that hold tokens of its workspace had too few to give, and"
-    " nothing could be drawn in time. It did not run.",
-    "budget_until_store": "The gateways held too few tokens of its workspace, and nothing can be"
-    " drawn while the store is away. It did not run.",
+    "upstreams_paused": "Every usable upstream had requested a pause. It did not run.",
+    "upstreams_refused": "Every upstream that it was sent to refused it. It did not run.",
+    "outcome_unknown": "It was sent, the answer was lost, and it must not be sent again. It may"
+    " have run: ask the owners of the upstream.",
+    "timed_out": "It timed out after it had been sent. It may have run.",
+    "timed_out_unsent": "It timed out before it was sent to an upstream. It did not run.",
+    "internal": "The gateway itself failed; its log line request.bug has the error.",
+    "budget_exhausted": "Its workspace has fewer tokens left than it may need; tokens of gateways"
+    " that were killed count as spent. It did not run.",
+    "budget_out_of_reach": "The gateways that hold tokens of its workspace had too few available,"
+    " and no more could be drawn in time. It did not run.",
+    "budget_until_store": "The gateways held too few tokens of its workspace, and none can be drawn"
+    " while the store is unavailable. It did not run.",
 }
 
 
 @dataclass(slots=True, frozen=True)
 class LogRecord:
-    """One log line."""
+    """A parsed log line."""
 
     time: datetime
     vm: str
@@ -53,22 +53,22 @@
     fields: dict[str, Any]
 
     def is_about(self, request_id: str) -> bool:
-        """Tell whether the line belongs to a request."""
+        """Return whether the line belongs to a request."""
         return self.fields.get("request") == request_id
 
 
 @dataclass(slots=True, frozen=True)
 class Explanation:
-    """A request's lines in order, with what its gateway believed, and the cause of its end."""
+    """The lines that explain how a request ended, in order, and the cause."""
 
     lines: list[str]
     cause: str
 
 
 def read_records(lines: Iterable[str], request_id: str) -> list[LogRecord]:
-    """Return the lines that matter for a request, in order of time.
+    """Return the lines that are relevant for a request, ordered by time.
 
-    Text before the JSON object, such as the name of a vm, is passed over, and so are other lines.
+    Text before the JSON object, such as the name of a vm, is ignored, and so are all other lines.
     """
     prefixes = _GATEWAY_EVENT_PREFIXES + _UPSTREAM_EVENT_PREFIXES
     records = [
@@ -82,7 +82,7 @@
 def explain(records: list[LogRecord], request_id: str) -> Explanation:
     """Explain how a request ended.
 
-    :param records: what :func:`read_records` returned.
+    :param records: records as returned by :func:`read_records`.
     """
     request_records = [record for record in records if record.is_about(request_id)]
     if not request_records:
@@ -96,7 +96,7 @@
 
 
 def _parse_line(line: str) -> LogRecord | None:
-    """Return a log line, or None for a line of another kind."""
+    """Parse a log line; return None for any other line."""
     start = line.find("{")
     if start < 0:
         return None
@@ -109,7 +109,7 @@
 
 
 def _format_record(record: LogRecord) -> str:
-    """Return one line of the explanation."""
+    """Return a record as one line of the explanation."""
     fields = ", ".join(
         f"{key}={value}" for key, value in record.fields.items() if key not in _OMITTED_FIELDS
     )
@@ -117,7 +117,7 @@
 
 
 def _gateway_state(records: list[LogRecord], first: LogRecord) -> list[str]:
-    """Return what the request's gateway believed when its first line was written, with its age."""
+    """Return the latest state of the request's gateway at its first line, with its age."""
     latest_by_topic: dict[str, LogRecord] = {}
     for record in records:
         if record.vm == first.vm and record.time <= first.time:
@@ -131,7 +131,7 @@
 
 
 def _upstream_context(records: list[LogRecord], attempt: LogRecord) -> list[str]:
-    """Return what else is known of the upstream of a failed attempt."""
+    """Return related failures and changes of the upstream of a failed attempt."""
     upstream = attempt.fields.get("upstream")
     if not attempt.event.startswith(("attempt.unknown", "attempt.not_run")):
         return []
@@ -154,7 +154,7 @@
 
 
 def _cause(request_records: list[LogRecord], last: LogRecord) -> str:
-    """Return why a request ended as it did."""
+    """Return the cause of a request's end."""
     match last.event:
         case "request.answered":
             return f"It was answered, and {last.fields.get('tokens', 0)} tokens were charged."
@@ -162,21 +162,21 @@
             return _refusal_cause(last)
         case "stream.broken":
             return (
-                "The stream was cut, because it could not go on elsewhere:"
-                f" {last.fields.get('detail', '')}. The caller keeps the events that it has."
+                "The stream was cut, because it could not be continued at another upstream:"
+                f" {last.fields.get('detail', '')}. The caller keeps the events it received."
             )
         case "caller.left":
             attempts = [record for record in request_records if record.event.startswith("attempt.")]
             waited = "after failed attempts" if attempts else "while its upstream sent nothing more"
-            return f"The caller closed its connection {waited}; the run was ended."
+            return f"The caller closed its connection {waited}; the run was cancelled."
         case "request.bug":
             return CAUSE_BY_REASON["internal"]
         case _:
-            return "Its last line was left out, or it is still running."
+            return "Its last line was dropped, or it is still running."
 
 
 def _refusal_cause(last: LogRecord) -> str:
-    """Return why the gateway answered by itself."""
+    """Return the cause of a refusal by the gateway."""
     reason = str(last.fields.get("reason"))
     cause = CAUSE_BY_REASON.get(reason, f"The gateway refused it: {reason}.")
     if not reason.startswith("budget_"):
@@ -188,5 +188,5 @@
 
 
 def _dropped_line_notices(records: list[LogRecord]) -> list[str]:
-    """Return the lines that tell of lines left out."""
+    """Return the lines that report dropped log lines."""
     return [_format_record(record) for record in records if record.event == "log.dropped"]
--- a/packages/quinceferry-cli/src/quinceferry/log_commands.py
+++ b/packages/quinceferry-cli/src/quinceferry/log_commands.py
@@ -1,4 +1,4 @@
-"""Commands that read logs; they call no router."""
+"""Commands that read logs and do not call a router."""
 
 import sys
 from collections.abc import Iterator
@@ -15,9 +15,10 @@
 @click.argument("request_id")
 @click.argument("files", nargs=-1, type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def explain_request(request_id: str, files: tuple[Path, ...]) -> None:
-    """Print the story of a request from the log lines of gateways, and its cause.
+    """Print the log lines that explain how a request ended, and the cause.
 
-    Without FILES the lines are read from standard input. Exits with 1 when no line is about it.
+    Without FILES, the log lines of the gateways are read from standard input. Exits with 1 when no
+    line belongs to the request.
     """
     records = read_records(_lines(files), request_id)
     explanation = explain(records, request_id)
--- a/packages/quinceferry-cli/src/quinceferry/main.py
+++ b/packages/quinceferry-cli/src/quinceferry/main.py
@@ -1,4 +1,4 @@
-"""Command ``quinceferry``: everything an operator or a caller does from a shell."""
+"""Command ``quinceferry``, the command line for operators and callers."""
 
 import sys
 from pathlib import Path
@@ -11,9 +11,9 @@
 
 EXIT_FAILED = 1
 EXIT_OUTCOME_UNKNOWN = 3
-"""The request may have run: do not send it under a new request id."""
+"""The request may have run and must not be sent with a new request id."""
 EXIT_CHANGE_PENDING = 4
-"""The change is stored but not yet in force everywhere."""
+"""The change is stored but not yet applied everywhere."""
 
 
 @click.group(context_settings={"show_default": True})
@@ -29,7 +29,7 @@
     "routers",
     multiple=True,
     envvar="QUINCEFERRY_ROUTERS",
-    help="Base URL of a router; may be repeated.",
+    help="Base URL of a router; repeatable.",
 )
 @click.option("--operator-key", envvar="QUINCEFERRY_OPERATOR_KEY", help="Operators' bearer key.")
 @click.option("--workspace-key", envvar="QUINCEFERRY_WORKSPACE_KEY", help="Workspace bearer key.")
@@ -63,7 +63,7 @@
 
 
 def main() -> None:
-    """Run the command line; errors of the fleet end it with a message and an exit status."""
+    """Run the command line; errors are reported by a message and the exit status."""
     try:
         quinceferry(prog_name="quinceferry")
     except OutcomeUnknownError as error:
--- a/packages/quinceferry-cli/src/quinceferry/operator_calls.py
+++ b/packages/quinceferry-cli/src/quinceferry/operator_calls.py
@@ -1,4 +1,4 @@
-"""Options and calls that the operators' commands share."""
+"""Options and calls shared by the operator commands."""
 
 import asyncio
 import hashlib
@@ -14,7 +14,7 @@
 from quinceferry_core import operator_messages as messages
 
 WORKSPACE_KEY_PREFIX = "qf-"
-"""Makes a leaked key easy to recognise."""
+"""Prefix by which a leaked key is easy to recognise."""
 KEY_BYTES = 32
 ACCEPT_TIMEOUT_SECONDS = 30.0
 
@@ -22,9 +22,9 @@
 
 
 def change_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Add the options that every change has."""
+    """Add the options of every change."""
     command = click.option(
-        "--wait/--no-wait", default=True, help="Wait until the change is in force everywhere."
+        "--wait/--no-wait", default=True, help="Wait until every router has applied the change."
     )(command)
     command = click.option(
         "--expected-revision", type=int, help="Revision to change; the current one if absent."
@@ -39,26 +39,26 @@
         ("--tokens-per-second", float),
         ("--concurrent-streams", int),
     ):
-        command = click.option(name, type=kind, help="Limit over the whole fleet; 0 for none.")(
-            command
-        )
+        command = click.option(
+            name, type=kind, help="Limit over the whole fleet; 0 for unlimited."
+        )(command)
     return command
 
 
 def choose_workspace_key(key: str | None, options: dict[str, Any]) -> str:
     """Return the given workspace key, or a new random one.
 
-    :raises click.UsageError: an earlier change is repeated, which must carry the same key.
+    :raises click.UsageError: a repeated change lacks the key, which must be the same.
     """
     if key:
         return key
     if options["operation_id"]:
-        raise click.UsageError("give --key too: a repeated change must carry the same key")
+        raise click.UsageError("--key is required: a repeated change must have the same key")
     return WORKSPACE_KEY_PREFIX + secrets.token_urlsafe(KEY_BYTES)
 
 
 def hash_key(key: str) -> str:
-    """Return the digest by which the fleet knows a workspace key."""
+    """Return the digest by which the fleet identifies a workspace key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -69,7 +69,7 @@
     options: dict[str, Any],
     key: str = "",
 ) -> None:
-    """Make a change, wait until it is in force if asked to, and print it."""
+    """Make a change, wait until it is applied everywhere if requested, and print its state."""
     wait = options.pop("wait")
     given = given_options(options)
 
@@ -85,12 +85,12 @@
 
 
 def run_message(configuration: ClientConfiguration, message: messages.Message) -> None:
-    """Make one call and print its answer."""
+    """Make one call and print its reply."""
     run_call(configuration, lambda client: client.call(message))
 
 
 def run_call(configuration: ClientConfiguration, call: OperatorCall) -> None:
-    """Run a call on a new client and print what it returns as JSON."""
+    """Make calls with a new client and print the result as JSON."""
 
     async def work() -> Any:
         routers = configuration.require_routers()
@@ -102,5 +102,5 @@
 
 
 def given_options(options: dict[str, Any]) -> dict[str, Any]:
-    """Return the options that were given."""
+    """Return the options that were given on the command line."""
     return {name: value for name, value in options.items() if value is not None}
--- a/packages/quinceferry-cli/src/quinceferry/operator_commands.py
+++ b/packages/quinceferry-cli/src/quinceferry/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators; each makes one call of the operator API."""
+"""Commands for operators, which call the operator API."""
 
 from typing import Any
 
@@ -71,7 +71,7 @@
     priority: str | None,
     **options: Any,
 ) -> None:
-    """Change what a workspace may use; what is not named keeps its value."""
+    """Change what a workspace may use; options that are not given keep their value."""
     fields = {
         "workspace": workspace,
         "models": list(models) or None,
@@ -84,7 +84,7 @@
 @operator.command("rotate-key")
 @click.argument("workspace")
 @click.option("--key", help="New key; a random one if absent.")
-@click.option("--keep-previous", is_flag=True, help="Let the newest previous key stay valid.")
+@click.option("--keep-previous", is_flag=True, help="Keep the newest previous key valid.")
 @change_options
 @click.pass_obj
 def rotate_key(
@@ -94,7 +94,7 @@
     keep_previous: bool,
     **options: Any,
 ) -> None:
-    """Replace the key of a workspace and print the new one."""
+    """Replace the key of a workspace and print the new key."""
     key = choose_workspace_key(key, options)
     fields = {
         "workspace": workspace,
@@ -119,7 +119,7 @@
     max_output_tokens: int,
     **options: Any,
 ) -> None:
-    """Add a model or replace its description."""
+    """Add a model or replace its specification."""
     fields = {
         "name": name,
         "min_bytes_per_token": min_bytes_per_token,
@@ -132,14 +132,14 @@
 @operator.command("register-upstream")
 @click.argument("upstream")
 @click.argument("url")
-@click.option("--zone", "upstream_zone", required=True, help="Its availability zone.")
+@click.option("--zone", "upstream_zone", required=True, help="Availability zone of the upstream.")
 @click.option(
     "--checks-fencing/--ignores-fencing",
     default=None,
-    help="Whether it refuses an order with an old fencing number; one of both is required.",
+    help="Whether it rejects orders with an old fencing number; one of the two is required.",
 )
 @click.option("--service", default="", help="Name of a plain service; a model engine if absent.")
-@click.option("--vm", default="", help="VM it runs on, as the platform lists it.")
+@click.option("--vm", default="", help="VM that it runs on, as in the platform's VM list.")
 @click.option("--role", default="", help="Role that a model engine is ordered to take.")
 @change_options
 @click.pass_obj
@@ -154,9 +154,9 @@
     role: str,
     **options: Any,
 ) -> None:
-    """Add an upstream or replace its description."""
+    """Add an upstream or replace its specification."""
     if checks_fencing is None:
-        raise click.UsageError("say --checks-fencing or --ignores-fencing")
+        raise click.UsageError("--checks-fencing or --ignores-fencing is required")
     fields = {
         "upstream": upstream,
         "address": url.rstrip("/"),
@@ -201,7 +201,7 @@
 
 @operator.command("bills")
 @click.argument("workspace")
-@click.option("--cursor", default="", help="Cursor of the page before.")
+@click.option("--cursor", default="", help="Cursor from the previous page.")
 @click.pass_obj
 def bills(configuration: ClientConfiguration, workspace: str, cursor: str) -> None:
     """Show one page of the bills of a workspace."""
@@ -212,10 +212,10 @@
 @click.argument("router")
 @click.option("--operation-id", help="Repeat an earlier declaration; new if absent.")
 @click.option("--expected-revision", type=int, help="Revision the router must have applied.")
-@click.confirmation_option(prompt="The process has surely ended? What it held is freed")
+@click.confirmation_option(prompt="Has the process certainly terminated? Its tokens will be freed")
 @click.pass_obj
 def declare_gone(configuration: ClientConfiguration, router: str, **options: Any) -> None:
-    """Declare that ROUTER's process, named by its incarnation, has ended."""
+    """Declare that the process of ROUTER, given by its incarnation, has terminated."""
     fields = {"router": router}
     run_change(configuration, messages.DeclareGone, fields, {**options, "wait": False})
 
@@ -224,7 +224,7 @@
 @click.argument("operation_id")
 @click.pass_obj
 def change(configuration: ClientConfiguration, operation_id: str) -> None:
-    """Show whether a change is in force, and which routers are awaited."""
+    """Show whether a change is applied everywhere, and which routers are awaited."""
     run_message(configuration, messages.GetChange(operation_id=operation_id))
 
 
@@ -245,7 +245,7 @@
 @click.command("drain")
 @click.argument("router")
 @click.option("--wait/--no-wait", default=False, help="Show progress until the router has left.")
-@click.option("--timeout-seconds", type=float, default=600.0, help="Longest wait.")
+@click.option("--timeout-seconds", type=float, default=600.0, help="Maximum wait.")
 @click.option("--operation-id", help="Repeat an earlier drain; new if absent.")
 @click.option("--expected-revision", type=int, help="Revision the router must have applied.")
 @click.pass_obj
@@ -256,7 +256,7 @@
     timeout_seconds: float,
     **options: Any,
 ) -> None:
-    """Stop ROUTER gracefully, named by its incarnation or VM."""
+    """Stop ROUTER, given by its incarnation or VM, gracefully."""
 
     def show(line: str) -> None:
         click.echo(line, err=True)
--- a/packages/quinceferry-cli/src/quinceferry/operators.py
+++ b/packages/quinceferry-cli/src/quinceferry/operators.py
@@ -31,18 +31,18 @@
 from quinceferry_core.operator_replies import ChangeReply, OperatorFailure
 
 OPERATOR_TIMEOUT_SECONDS = 15.0
-"""Time allowed for one attempt of a call."""
+"""Timeout of one attempt of a call."""
 CHANGE_POLL_INTERVAL_SECONDS = 0.2
-"""Time between two looks at a change that is not accepted yet."""
+"""Interval between two polls of a change that is not accepted yet."""
 REVISION_CONFLICT_CODE = "revision_conflict"
-"""Code of a failure whose expected revision was not the current one."""
+"""Failure code when the expected revision was not the current one."""
 
 
 class OperatorClient(Session):
     """Calls the operator API at any router that answers.
 
-    Every attempt of a call carries the same message, thus the same operation id, so a change whose
-    answer was lost is not made twice.
+    Every attempt of a call sends the same message with the same operation id, so that a change
+    whose answer was lost is not made twice.
 
     :param routers: base URLs of routers, such as ``http://10.0.0.1:7700``.
     :param key: the operators' bearer key.
@@ -70,13 +70,12 @@
     async def call(
         self, message: Message, *, router: str = "", max_attempts: int | None = None
     ) -> Any:
-        """Make one call and return its typed answer.
+        """Make one call and return its reply.
 
-        :param message: the call.
-        :param router: the only router to ask; empty for any.
-        :param max_attempts: attempts allowed; those of the client's policy if absent.
-        :return: the answer, of the type that ``REPLIES_BY_MESSAGE`` names.
-        :raises OperatorCallError: the call was refused, and a retry would not help.
+        :param router: the only router to call; empty for any.
+        :param max_attempts: maximum number of attempts; that of the client's policy if absent.
+        :return: the reply, of the type in ``REPLIES_BY_MESSAGE``.
+        :raises OperatorCallError: the call was rejected, and a retry would not succeed.
         :raises RouterUnreachableError: no router answered.
         """
         routers = [base_url(router)] if router else self._routers
@@ -95,11 +94,12 @@
             await self._clock.sleep(delay)
 
     async def change(self, kind: type[Change], /, **fields: Any) -> Any:
-        """Make a change at the current revision, under a new operation id.
+        """Make a change at the current revision with a new operation id.
 
         :param kind: type of the change.
-        :param fields: its fields; ``operation_id`` and ``expected_revision`` may be given.
-        :return: the answer to the change.
+        :param fields: fields of the change; ``operation_id`` and ``expected_revision`` override
+            the defaults.
+        :return: the reply to the change.
         """
         fields.setdefault("operation_id", new_operation_id())
         if "expected_revision" not in fields:
@@ -107,28 +107,28 @@
         return await self.call(kind(**fields))
 
     async def revision(self) -> int:
-        """Return the revision that the answering router applies."""
+        """Return the revision that the answering router has applied."""
         status = await self.call(GetStatus())
         return status.revision
 
     async def wait_accepted(self, change: ChangeReply, timeout_seconds: float) -> ChangeReply:
-        """Wait until a change is in force everywhere.
+        """Wait until every router has applied a change.
 
-        :param change: the answer to the change.
-        :param timeout_seconds: longest wait.
-        :raises ChangePendingError: some routers have not applied it yet.
+        :param change: the reply to the change.
+        :param timeout_seconds: maximum wait.
+        :raises ChangePendingError: some routers have not applied it in time.
         """
         deadline = self._clock.monotonic() + timeout_seconds
         while change.state != "accepted":
             if self._clock.monotonic() >= deadline:
                 awaited = tuple(router.router for router in change.awaited_routers)
-                raise ChangePendingError(f"not in force yet at {', '.join(awaited)}", awaited)
+                raise ChangePendingError(f"not applied yet by {', '.join(awaited)}", awaited)
             await self._clock.sleep(CHANGE_POLL_INTERVAL_SECONDS)
             change = await self.call(GetChange(operation_id=change.operation_id))
         return change
 
     async def pause(self, seconds: float) -> None:
-        """Wait on the client's clock."""
+        """Wait for some seconds of the client's clock."""
         await self._clock.sleep(seconds)
 
     async def _send(self, address: str, message: Message) -> Any:
@@ -150,23 +150,23 @@
 
 
 def new_operation_id() -> str:
-    """Return an operation id that sorts by time and is never used again."""
+    """Return a new unique operation id that sorts by time."""
     return f"op-{int(time.time()):010d}-{secrets.token_hex(6)}"
 
 
 def _decode(response: httpx.Response, kind: type[msgspec.Struct]) -> msgspec.Struct:
-    """Read a typed answer."""
+    """Decode a reply."""
     try:
         return msgspec.json.decode(response.content, type=kind)
     except msgspec.DecodeError as error:
-        detail = f"unreadable answer: {error}"
+        detail = f"malformed answer: {error}"
         raise AnswerBrokenError(
             detail, request=response.request, response=response, step="operator.decode"
         ) from error
 
 
 def _read_failure(response: httpx.Response) -> OperatorFailure:
-    """Read why a call failed; a body that is not ours is kept as detail."""
+    """Decode the failure of a call; a body that is not a router's becomes the detail."""
     try:
         return msgspec.json.decode(response.content, type=OperatorFailure)
     except msgspec.DecodeError:
@@ -174,7 +174,7 @@
 
 
 def _retry_after_seconds(error: OperatorCallError | RouterUnreachableError) -> float | None:
-    """Return how long to wait at least before a retry, or None when none can help."""
+    """Return the minimum delay before a retry, or None when a retry cannot succeed."""
     if isinstance(error, RouterUnreachableError):
         return 0.0
     return error.failure.retry_after_seconds or None
--- a/packages/quinceferry-cli/src/quinceferry/refusals.py
+++ b/packages/quinceferry-cli/src/quinceferry/refusals.py
@@ -1,4 +1,4 @@
-"""Reading why a router refused a request or broke off its answer."""
+"""Decoding of a router's error responses and error events."""
 
 import httpx
 import msgspec
@@ -7,17 +7,17 @@
 
 OUTCOME_UNKNOWN = "unknown"
 RETRYABLE_STATUSES = frozenset({502, 503, 504})
-"""Statuses that are worth a retry even when their body is not a router's."""
+"""Statuses that are retried even when the body is not a router's."""
 NON_ROUTER_RETRY_SECONDS = 0.5
 """Delay before such a retry."""
 
 
 REFUSAL_HEADER = "x-should-retry"
-"""Header of every error that comes from a router and not from a plain service behind it."""
+"""Header of every error that comes from a router and not from a plain service."""
 
 
 class _ErrorBody(msgspec.Struct):
-    """What a router says of a refusal."""
+    """Description of an error by a router."""
 
     message: str = ""
     reason: str = ""
@@ -34,16 +34,16 @@
 
 
 def is_refusal(response: httpx.Response) -> bool:
-    """Tell a router's error from an error that a plain service answered with."""
+    """Return whether an error response comes from a router and not from a plain service."""
     return response.is_error and REFUSAL_HEADER in response.headers
 
 
 def read_refusal(response: httpx.Response, document: bytes, *, step: str) -> RefusedError:
-    """Return the error that a router's document stands for.
+    """Return the exception for a router's error document.
 
-    :param response: the response that carried it.
+    :param response: the response with the document.
     :param document: the body, or the data of an error event in a stream.
-    :param step: what the client was doing.
+    :param step: the client's operation in progress.
     """
     try:
         body = msgspec.json.decode(document, type=_ErrorDocument).error
@@ -63,7 +63,7 @@
 
 
 def _non_router_error(response: httpx.Response, document: bytes) -> _ErrorBody:
-    """Describe an error whose body is not a router's; nothing is known of its outcome."""
+    """Describe an error whose body is not a router's, so that the outcome is unknown."""
     retry = NON_ROUTER_RETRY_SECONDS if response.status_code in RETRYABLE_STATUSES else 0.0
     return _ErrorBody(
         message=document[:200].decode(errors="replace"),
@@ -74,6 +74,6 @@
 
 
 def _retry_after_header_seconds(response: httpx.Response) -> float:
-    """Return the seconds of a ``Retry-After`` header; zero when it is absent or a date."""
+    """Return the seconds in a ``Retry-After`` header; zero when it is absent or a date."""
     text = response.headers.get("retry-after", "")
     return float(text) if text.isdigit() else 0.0
--- a/packages/quinceferry-cli/src/quinceferry/retries.py
+++ b/packages/quinceferry-cli/src/quinceferry/retries.py
@@ -6,7 +6,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryPolicy:
-    """How often and after what delays a call is repeated; delays are in seconds."""
+    """Number of attempts of a call, and the delays between them in seconds."""
 
     max_attempts: int = 8
     base_delay_seconds: float = 0.2
@@ -18,8 +18,8 @@
         """Return the delay before the next attempt, with jitter.
 
         :param attempt: number of attempts made so far, at least one.
-        :param retry_after_seconds: what the server asked for; the delay is never shorter.
-        :param generator: source of the jitter.
+        :param retry_after_seconds: minimum delay requested by the server.
+        :param generator: random generator for the jitter.
         """
         ceiling = min(self.max_delay_seconds, self.base_delay_seconds * 2 ** (attempt - 1))
         return retry_after_seconds + generator.uniform(0.0, ceiling)
--- a/packages/quinceferry-cli/src/quinceferry/sessions.py
+++ b/packages/quinceferry-cli/src/quinceferry/sessions.py
@@ -1,4 +1,4 @@
-"""What the clients of both interfaces share: connections, retries, and how they are closed."""
+"""Base class of the clients of both APIs: connections, retries and closing."""
 
 import random
 from types import TracebackType
@@ -11,9 +11,9 @@
 
 
 class Session:
-    """An asynchronous context that owns its connections.
+    """An asynchronous context manager that owns its connections.
 
-    :param http: the connections; closed with the session.
+    :param http: HTTP client, which is closed with the session.
     """
 
     def __init__(
@@ -35,9 +35,9 @@
 
     async def __aexit__(
         self,
-        kind: type[BaseException] | None,
+        error_type: type[BaseException] | None,
         error: BaseException | None,
-        trace: TracebackType | None,
+        traceback: TracebackType | None,
     ) -> None:
         """Close the connections."""
         await self.close()
