--- a/packages/quinceferry-cli/src/quinceferry/addresses.py
+++ b/packages/quinceferry-cli/src/quinceferry/addresses.py
@@ -68,7 +68,7 @@
         return self._answer
 
     def invalidate(self) -> None:
-        """Request a new answer at the next call, because the addresses of this one failed."""
+        """Make the next call request a new answer, because the addresses of this one failed."""
         self._expires_at = 0.0
 
     async def _fetch(self) -> AddressAnswer:
--- a/packages/quinceferry-cli/src/quinceferry/explanations.py
+++ b/packages/quinceferry-cli/src/quinceferry/explanations.py
@@ -24,8 +24,8 @@
     "quarantined": "The same content has crashed upstreams before. It did not run.",
     "upstreams_limited": "Every remaining upstream limits its request rate. It did not run.",
     "configuration_outdated": (
-        "The gateway knew that a newer configuration exists, or its own was too old to reject "
-        "requests. It did not run."
+        "The gateway knew of a newer configuration than its own, or its own was too old to reject "
+        "requests by it. It did not run."
     ),
     "upstreams_paused": "Every usable upstream had requested a pause. It did not run.",
     "upstreams_refused": "Every upstream that it was sent to refused it. It did not run.",
@@ -109,7 +109,7 @@
 
 
 def _format_record(record: LogRecord) -> str:
-    """Return a record as one line of the explanation."""
+    """Format a record as one line of the explanation."""
     fields = ", ".join(
         f"{key}={value}" for key, value in record.fields.items() if key not in _OMITTED_FIELDS
     )
--- a/packages/quinceferry-cli/src/quinceferry/refusals.py
+++ b/packages/quinceferry-cli/src/quinceferry/refusals.py
@@ -17,7 +17,7 @@
 
 
 class _ErrorBody(msgspec.Struct):
-    """Description of an error by a router."""
+    """An error as described by a router."""
 
     message: str = ""
     reason: str = ""
