--- a/packages/quinceferry-daemon/src/quinceferryd/choices.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/choices.py
@@ -72,8 +72,8 @@
         ]
         loads = [self._tracker.load(spec.id) for spec in eligible]
         slots = sum(load.slots for load in loads)
-        taken = sum(min(load.slots, load.occupied) for load in loads)
-        return Availability(eligible, with_free_slots, taken / max(1, slots))
+        occupied = sum(min(load.slots, load.occupied) for load in loads)
+        return Availability(eligible, with_free_slots, occupied / max(1, slots))
 
     def choose_with_free_slots(
         self,
--- a/packages/quinceferry-daemon/src/quinceferryd/loads.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/loads.py
@@ -48,7 +48,7 @@
         self._clock = clock
         self._rng = rng
         self._settings = settings
-        self._polled_ids: set[UpstreamId] = set()
+        self._pending_poll_ids: set[UpstreamId] = set()
         self.polls = 0
         self.failed_polls = 0
 
@@ -124,9 +124,9 @@
         self._tracker.requested_reports.clear()
 
     def _spawn_poll(self, spec: UpstreamSpec, with_events: bool) -> None:
-        if spec.id in self._polled_ids:
+        if spec.id in self._pending_poll_ids:
             return
-        self._polled_ids.add(spec.id)
+        self._pending_poll_ids.add(spec.id)
         self.spawn(self._poll(spec, with_events), f"poll {spec.id}")
 
     async def _poll(self, spec: UpstreamSpec, with_events: bool) -> None:
@@ -142,7 +142,7 @@
         except UpstreamError:
             self.failed_polls += 1
         finally:
-            self._polled_ids.discard(spec.id)
+            self._pending_poll_ids.discard(spec.id)
 
     async def _update_leaving_forever(self) -> None:
         while True:
