--- a/packages/quinceferry-daemon/src/quinceferryd/admission.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/admission.py
@@ -1,4 +1,4 @@
-"""Queues in which admitted-to-be requests wait for room at an upstream."""
+"""Queues of requests that wait for a free slot at an upstream."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,22 +15,26 @@
 from quinceferryd.tracking import UpstreamTracker
 
 MAX_SCANNED_REQUESTS = 32
-"""Waiting requests of one pool that are looked at each time."""
+"""Waiting requests of one target queue that are considered per pass."""
 PREFIX_WAIT_SECONDS_BY_PRIORITY = {Priority.HIGH: 0.0, Priority.NORMAL: 2.0, Priority.LOW: 5.0}
-"""How long a request waits for an upstream that holds its prefix before it takes any other."""
+"""How long a request waits for an upstream that caches its prefix before it takes any other."""
 MAX_RETRY_AFTER_SECONDS = 60.0
+"""Upper bound of the retry delay that a refusal suggests."""
 
 
 @dataclass(slots=True, frozen=True)
 class Admitted:
-    """A request has a place at an upstream, which counts as sent from now on."""
+    """Result of an admission: the upstream whose slot is reserved.
+
+    The upstream's load counts the request as sent from this moment on.
+    """
 
     upstream: UpstreamSpec
 
 
 @dataclass(slots=True, eq=False)
 class _QueuedRequest:
-    """A request that waits, with the prefix hashes that its placing needs."""
+    """Request in a queue, its prefix hashes, and the future that resolves to the decision."""
 
     request: CallerRequest
     hashes: tuple[int, ...]
@@ -38,10 +42,10 @@
 
 
 class Admission:
-    """Admits requests as upstreams have room, in the order of their pool's queue.
+    """Admits requests as upstreams get free slots, in the order of their target queue.
 
-    :param tracker: knows the room at each upstream.
-    :param chooser: places a request.
+    :param tracker: counts the free slots of each upstream.
+    :param chooser: chooses the upstream of a request.
     """
 
     def __init__(
@@ -59,11 +63,17 @@
         self._request_queued = asyncio.Event()
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return sum(len(target_queue.fair_queue) for target_queue in self._queues_by_target.values())
 
     async def admit(self, request: CallerRequest, tokens: int) -> Admitted | Failed:
-        """Find a place for a request, now or after waiting; refuse at once what cannot get one."""
+        """Reserve a slot at an upstream, now or after waiting in the queue.
+
+        A request whose expected wait exceeds its deadline or the queue's limits is refused at once.
+
+        :param request: the request to admit.
+        :param tokens: tokens reserved for it, prompt and output together.
+        """
         target_queue = self._queue_for(request)
         hashes = prefix_hashes(request.target, request.prompt)
         may_skip_queue = bool(hashes) or not target_queue.fair_queue.count_up_to_class(
@@ -81,13 +91,13 @@
         return refusal or await self._wait_for_decision(request, tokens, hashes, target_queue)
 
     async def wait_until_queued(self) -> None:
-        """Return once a request waits, at once if one does."""
+        """Return as soon as at least one request is waiting."""
         while not len(self):
             self._request_queued.clear()
             await self._request_queued.wait()
 
     def process_queue(self) -> None:
-        """Refuse waiting requests that are overdue, and admit those that have room."""
+        """Refuse overdue requests and admit waiting requests for which a slot is free."""
         now = self._clock.monotonic()
         for target_queue in list(self._queues_by_target.values()):
             for waiting in target_queue.fair_queue.remove_overdue(
@@ -104,10 +114,11 @@
     def _admit_group(
         self, group: list[QueueEntry[_QueuedRequest]], target_queue: TargetQueue, now: float
     ) -> None:
-        """Place waiting requests of one class, first those whose prefix an upstream holds.
+        """Admit waiting requests of one priority, first those whose prefix an upstream caches.
 
-        Computing a prefix again costs more than a short wait; so a request takes any other upstream
-        only after a while, and only the room that those with a held prefix leave.
+        Prefilling a prefix again costs more than a short wait. A request therefore takes an
+        upstream without its prefix only after its prefix wait, and only slots that requests with a
+        cached prefix leave free.
         """
         availability = self._chooser.availability(group[0].item.request)
         for allow_cache_miss in (False, True):
@@ -178,7 +189,7 @@
             raise
 
     def _release_upstream(self, queued: _QueuedRequest) -> None:
-        """Return a place that came at the moment in which the caller left."""
+        """Release a slot that was reserved just as the caller disconnected."""
         if not queued.decision.done() or queued.decision.cancelled():
             return
         match queued.decision.result():
@@ -195,7 +206,9 @@
             return unsent_refusal(RefusalReason.QUEUE_FULL, wait_seconds, "the queue is too long")
         if target_queue.fair_queue.workspace_is_full(request.workspace):
             return unsent_refusal(
-                RefusalReason.QUEUE_FULL, wait_seconds, "the workspace fills its queue"
+                RefusalReason.QUEUE_FULL,
+                wait_seconds,
+                "the workspace has reached its share of the queue",
             )
         if target_queue.fair_queue.has_capacity(request.workspace):
             return None
@@ -213,7 +226,7 @@
         reason = RefusalReason.DEADLINE_EXCEEDED if overdue else RefusalReason.QUEUE_FULL
         wait_seconds = target_queue.expected_wait_seconds(waiting.priority, now)
         if not waiting.item.decision.done():
-            refusal = unsent_refusal(reason, wait_seconds, "no capacity came free in time")
+            refusal = unsent_refusal(reason, wait_seconds, "no slot became free in time")
             waiting.item.decision.set_result(refusal)
 
     def _max_wait_seconds(self, target_queue: TargetQueue) -> float:
@@ -234,10 +247,10 @@
 def _prefix_wait_seconds(
     waiting: QueueEntry[_QueuedRequest], availability: Availability, target_queue: TargetQueue
 ) -> float:
-    """Return how long a request waits for its prefix.
+    """Return how long a request waits for an upstream that caches its prefix.
 
-    Hardly at all while much capacity is idle, but for a long one, whose prefix takes longer to
-    compute again than to wait for.
+    The wait shrinks with the square of the utilization, so it is short while much capacity is idle.
+    Long prompts always wait for the full time, since prefilling them again takes longer.
     """
     prefix_wait_seconds = PREFIX_WAIT_SECONDS_BY_PRIORITY[waiting.priority]
     return (
@@ -250,7 +263,9 @@
 def unsent_refusal(reason: RefusalReason, wait_seconds: float, detail: str) -> Failed:
     """Return the refusal of a request that was never sent.
 
-    :param wait_seconds: when a retry may succeed, as far as it can be told.
+    :param reason: machine-readable reason of the refusal.
+    :param wait_seconds: estimated time until a retry can succeed.
+    :param detail: description for the caller.
     """
     retry_after = max(1.0, min(wait_seconds, MAX_RETRY_AFTER_SECONDS))
     proof = NotRun(NotRunProof.NEVER_SENT)
--- a/packages/quinceferry-daemon/src/quinceferryd/choices.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/choices.py
@@ -1,4 +1,4 @@
-"""Choice of one upstream for a request."""
+"""Choice of an upstream for a request by prefix cache, load and zone."""
 
 import random
 from dataclasses import dataclass
@@ -11,18 +11,18 @@
 from quinceferryd.upstream_views import estimate_prompt_tokens
 
 PREFERRED_UPSTREAMS_PER_PREFIX = 2
-"""Upstreams on which routers that never met agree for one prompt prefix."""
+"""Upstreams preferred for a prompt prefix; all routers derive the same ones independently."""
 BUSY_SLOT_SHARE = 0.6
-"""Part of all slots from which on the fleet counts as busy."""
+"""Share of occupied slots from which the fleet counts as busy."""
 MIN_FREE_SLOTS = 0.5
-"""Room that counts as one free place; expected growth makes it a fraction."""
+"""Free slots from which an upstream accepts a request; expected growth makes them fractional."""
 
 
 @dataclass(slots=True, frozen=True)
 class Availability:
-    """Upstreams that may get a request, and those of them that have room for it.
+    """Upstreams eligible for a request, and those of them that have a free slot for it.
 
-    ``utilization`` is the part of all their slots that is taken, from zero to one.
+    ``utilization`` is the share of all their slots that is occupied, from zero to one.
     """
 
     eligible: list[UpstreamSpec]
@@ -33,9 +33,9 @@
 class UpstreamChooser:
     """Compares sampled upstreams by the expected time to the first token.
 
-    :param tracker: what is known of the upstreams.
-    :param rng: source of the samples.
-    :param zone: this router's availability zone.
+    :param tracker: observed state of the upstreams.
+    :param rng: random generator for the sampling.
+    :param zone: availability zone of this router.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
     def choose(
         self, request: CallerRequest, excluded: frozenset[UpstreamId]
     ) -> UpstreamSpec | None:
-        """Return the cheapest of the sampled upstreams, or None if none may get the request."""
+        """Return the cheapest of the sampled upstreams, or None if none is eligible."""
         eligible = self._tracker.eligible_upstreams(request, excluded)
         hashes = prefix_hashes(request.target, request.prompt)
         preferred = self._preferred_upstreams(request, hashes, eligible)
@@ -63,7 +63,7 @@
         return self._select_cheapest(request, hashes, preferred, eligible)
 
     def availability(self, request: CallerRequest) -> Availability:
-        """Return the upstreams that have room for requests of this target, class and length."""
+        """Return the upstreams with free slots for requests of this target, priority and length."""
         eligible = self._tracker.eligible_upstreams(request)
         with_free_slots = [
             spec
@@ -83,10 +83,11 @@
         *,
         allow_cache_miss: bool,
     ) -> UpstreamSpec | None:
-        """Return an upstream with room for a request, or None if it should wait.
+        """Return an upstream with a free slot for a request, or None if the request should wait.
 
-        :param hashes: the prompt's prefix hashes.
-        :param anywhere: whether an upstream that does not hold the prefix will do.
+        :param hashes: prefix hashes of the prompt.
+        :param availability: upstreams that are eligible for the request.
+        :param allow_cache_miss: whether an upstream that does not cache the prefix is acceptable.
         """
         if not availability.with_free_slots:
             return None
@@ -108,10 +109,11 @@
     def _select_for_long_prompt(
         self, hashes: tuple[int, ...], availability: Availability, *, allow_cache_miss: bool
     ) -> list[UpstreamSpec]:
-        """Return the upstreams with room for a long prompt.
+        """Return the upstreams with a free slot for a long prompt.
 
-        Where its prefix is cached, or is being computed, it costs little; so it waits a while for
-        room there. Elsewhere it fills only a part of the slots of a part of the upstreams.
+        An upstream that caches the prefix, or is prefilling it, runs the prompt at little cost, so
+        the request first waits for a slot there. Of the other upstreams only some accept long
+        prompts, and only in a share of their slots.
         """
         cached = self._with_cached_prefix(availability.eligible, hashes)
         ids_with_free_slots = {spec.id for spec in availability.with_free_slots}
@@ -128,7 +130,7 @@
     def _prefer_long_work_upstreams(
         self, accepting: list[UpstreamSpec], eligible: list[UpstreamSpec]
     ) -> list[UpstreamSpec]:
-        """Return those upstreams for long work that have room, or else those it spills to."""
+        """Return the accepting upstreams for long work, or else those that take its overflow."""
         for_long_work = self._tracker.long_work_upstreams(eligible)
         overflow = self._tracker.overflow_upstreams(eligible)
         preferred_for_long = [spec for spec in accepting if spec.id in for_long_work]
@@ -144,7 +146,7 @@
     def _has_or_should_have_prefix(
         self, spec: UpstreamSpec, hashes: tuple[int, ...], preferred: list[UpstreamId]
     ) -> bool:
-        """Return whether a prompt's prefix is believed to be there, or should come to be there."""
+        """Return whether an upstream is estimated to cache the prefix, or is preferred for it."""
         return spec.id in preferred or self._tracker.has_cached_prefix(spec.id, hashes)
 
     def _select_cheapest(
@@ -182,7 +184,7 @@
     def _preferred_upstreams(
         self, request: CallerRequest, hashes: tuple[int, ...], eligible: list[UpstreamSpec]
     ) -> list[UpstreamId]:
-        """Return the upstreams that should cache a prompt, the first one first."""
+        """Return the upstreams that should cache a prompt's prefix, most preferred first."""
         if not hashes or not eligible or self._tracker.is_long(request):
             return []
         for_long_work = self._tracker.long_work_upstreams(eligible)
@@ -194,9 +196,10 @@
 def _available_preferred(
     preferred: list[UpstreamId], availability: Availability
 ) -> list[UpstreamId]:
-    """Return the homes that a prefix may be copied to now, the first one first.
+    """Return the preferred upstreams that may cache a prefix now, most preferred first.
 
-    While much capacity is idle a full home is passed over; else copies would only crowd the caches.
+    Preferred upstreams without a free slot are skipped only while the fleet is not busy. When it is
+    busy, further copies of a prefix would evict other prefixes from the caches.
     """
     if availability.utilization >= BUSY_SLOT_SHARE:
         return preferred
--- a/packages/quinceferry-daemon/src/quinceferryd/loads.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/loads.py
@@ -1,6 +1,6 @@
-"""Sparse polling of load reports and cache events, and the signs that an upstream is leaving.
+"""Polling of load reports and cache events, and detection of upstreams that are leaving.
 
-Only upstreams that this router uses, or is the likeliest to use, are polled, at a bounded rate.
+Only upstreams that this router uses, or is most likely to use, are polled, at a bounded rate.
 """
 
 import random
@@ -17,18 +17,20 @@
 from quinceferryd.settings import RoutingSettings
 
 ROUNDS_PER_CACHE_EVENT_READ = 8
-"""Cache events of an engine are read with one in this many load reports."""
+"""Cache events of an engine are read along with one in this many load reports."""
 PROBES_FOR_UNSERVED_TARGET = 4
-"""Random upstreams polled in one round while no known one has the target of a request."""
+"""Random upstreams polled per round while no polled upstream serves the target of a request."""
 LEAVING_UPDATE_INTERVAL_SECONDS = 0.25
-"""How often the signs that an upstream is leaving are put together."""
+"""Interval at which the set of leaving upstreams is recomputed."""
 
 
 class LoadController(TaskGroupController):
-    """Writes ``blackboard.upstreams_by_id`` and ``blackboard.leaving_upstreams``.
+    """Polls upstreams for their load.
 
-    :param scheduler: its tracker takes the reports and events.
-    :param rng: chooses the upstreams that are looked at now and then.
+    Writes ``blackboard.upstreams_by_id`` and ``blackboard.leaving_upstreams``.
+
+    :param scheduler: its tracker receives the reports and events.
+    :param rng: random generator for the sampling of upstreams outside the active set.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         self.spawn(self._update_leaving_forever(), "leaving signs")
 
     def update_leaving(self) -> None:
-        """Put together what the VM list, the upstreams and the other routers say of leaving."""
+        """Update the leaving upstreams from the VM list, load reports and other routers."""
         reported_by_members = {
             upstream
             for member in self._blackboard.members_by_incarnation.values()
@@ -79,7 +81,7 @@
         }
 
     def upstreams_to_poll(self) -> list[UpstreamSpec]:
-        """Return the upstreams to poll: those in use, and this router's likeliest choices.
+        """Return the upstreams to poll: those in use, and those this router most likely chooses.
 
         Each router has its own order, so that they do not all poll an upstream at the same moment.
         """
@@ -93,7 +95,7 @@
         return [specs_by_id[upstream] for upstream in ranked if upstream in chosen]
 
     def _probe_count(self) -> int:
-        """Return how many others to look at in this round: more while a target is not found."""
+        """Return the number of random upstreams in this round, more while a target is unserved."""
         return PROBES_FOR_UNSERVED_TARGET if self._tracker.has_unserved_target else 1
 
     async def _poll_forever(self) -> None:
--- a/packages/quinceferry-daemon/src/quinceferryd/model_demand.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/model_demand.py
@@ -1,4 +1,4 @@
-"""Publishes this router's demand for models and reads that of the fleet."""
+"""Publication of this router's demand for models, and the total demand of the fleet."""
 
 import msgspec
 
@@ -13,12 +13,15 @@
 
 
 class ModelDemand:
-    """One key for each router with any demand, written when its rounded demand changes.
+    """Publishes the demand of each router under one key.
+
+    The key is written when the rounded demand changes. A router that never had any demand has no
+    key.
 
     :param blackboard: shared state.
-    :param kv: the key-value service.
-    :param membership: owner of the lease that the key lives under.
-    :param meter: this router's demand.
+    :param kv: client of the key-value service.
+    :param membership: owner of the lease that the key is attached to.
+    :param meter: measures this router's demand.
     """
 
     def __init__(
@@ -36,9 +39,9 @@
         self._published_lease = ""
 
     async def publish(self) -> None:
-        """Write the demand if it changed or its lease did.
+        """Write the demand if it or the lease has changed since the last write.
 
-        :raises KvError: the service did not answer; call again.
+        :raises KvError: the service did not answer; the call can be repeated.
         """
         lease = self._membership.lease
         rates = {str(model): rate for model, rate in self._meter.rounded_rates().items()}
@@ -56,7 +59,7 @@
         self._published_lease = lease
 
     async def read_fleet_rates(self) -> dict[ModelRef, float]:
-        """Return the demand of all routers together."""
+        """Return the demand per model, summed over all routers."""
         total_rates: dict[ModelRef, float] = {}
         for entry in await self._kv.list(DEMAND_KEY_PREFIX):
             for name, rate in msgspec.json.decode(entry.value, type=dict[str, float]).items():
--- a/packages/quinceferry-daemon/src/quinceferryd/scheduling.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/scheduling.py
@@ -1,4 +1,4 @@
-"""Admission of requests and choice of their upstream."""
+"""Admission of requests and choice of their upstreams."""
 
 import random
 from collections import Counter
@@ -25,13 +25,17 @@
 from quinceferryd.tracking import UpstreamTracker
 
 QUEUE_INTERVAL_SECONDS = 0.05
-"""How often waiting requests are looked at when nothing else wakes the queue."""
+"""Interval between passes over the waiting requests when no other event triggers one."""
 NO_UPSTREAM_RETRY_SECONDS = 5.0
+"""Retry delay suggested to a caller when no upstream can serve its request."""
 
 
 @dataclass(slots=True, eq=False)
 class Permit:
-    """Admission of one request; :meth:`release` must be called when it ends."""
+    """Admission of one request.
+
+    The holder must call :meth:`release` when the request ends.
+    """
 
     request: CallerRequest
     tokens: int
@@ -39,7 +43,7 @@
     _released: bool = False
 
     def release(self) -> None:
-        """Give the place back; idempotent."""
+        """Return the reserved slot and limit shares. Idempotent."""
         if not self._released:
             self._released = True
             self._scheduler.release(self)
@@ -47,7 +51,7 @@
 
 @dataclass(slots=True)
 class SchedulerCounters:
-    """Counts since start, for metrics."""
+    """Counters since the start of the process, exported as metrics."""
 
     admitted: Counter[Priority] = field(default_factory=Counter)
     refused: Counter[tuple[Priority, RefusalReason]] = field(default_factory=Counter)
@@ -56,9 +60,9 @@
 class Scheduler(TaskGroupController):
     """Admits requests within limits and capacity, and chooses their upstreams.
 
-    :param blackboard: shared state; only read, but for limit claims.
-    :param rng: source of the samples.
-    :param homes: how many routers the callers of one workspace are sent to.
+    :param blackboard: shared state; only the limit claims are written.
+    :param rng: random generator for the sampling of upstreams.
+    :param routers_per_workspace: number of routers that the callers of one workspace are sent to.
     """
 
     def __init__(
@@ -80,16 +84,16 @@
         self._reserved_upstreams_by_key: dict[tuple[WorkspaceId, RequestId], UpstreamSpec] = {}
 
     async def start(self) -> None:
-        """Start the loops that move the queue and the limit claims."""
+        """Start the loops that process the queue and update the limit claims."""
         self.spawn(self._process_queue_forever(), "scheduler pump")
         self.spawn(self._update_shares_forever(), "limit shares")
 
     async def admit(self, request: CallerRequest, tokens: int) -> Result[Permit, Failed]:
-        """Admit a request, or refuse it at once.
+        """Admit a request, possibly after waiting in the queue, or refuse it.
 
         :param request: the request.
         :param tokens: tokens reserved for it, prompt and output together.
-        :return: a permit, perhaps after waiting in the queue; else why the request was not run.
+        :return: a permit, or the refusal.
         """
         refusal = self.shares.check(request, tokens) or self._target_refusal(request)
         if refusal is not None:
@@ -114,8 +118,8 @@
     ) -> Result[UpstreamSpec, Failed]:
         """Choose the upstream with the least expected time to the first token.
 
-        The first choice of an admitted request is the place that its admission found, unless that
-        has begun to leave.
+        The first call for an admitted request returns the upstream that its admission reserved,
+        unless that upstream has begun to leave.
 
         :param request: the request.
         :param excluded: upstreams that must not be chosen again.
@@ -133,23 +137,23 @@
         )
 
     def record_sent(self, request: CallerRequest, upstream: UpstreamId) -> None:
-        """Note that a request will go to an upstream once its dispatch is recorded."""
+        """Record that a request will be sent to an upstream once its dispatch is recorded."""
         self.tracker.record_sent(request, upstream)
 
     def record_dispatched(self, request: CallerRequest, upstream: UpstreamId) -> None:
-        """Note that the first byte of a request is about to leave for an upstream."""
+        """Record that the first byte of a request is about to be sent to an upstream."""
         self.tracker.record_dispatched(request, upstream)
 
     def record_first_token(self, request: CallerRequest, upstream: UpstreamId) -> None:
-        """Note the first token of an answer."""
+        """Record the first token of an answer."""
         self.tracker.record_first_token(request, upstream)
 
     def record_ended(self, request: CallerRequest, upstream: UpstreamId) -> None:
-        """Note that a request has left an upstream."""
+        """Record that a request has ended at an upstream."""
         self.tracker.record_ended(request, upstream)
 
     def release(self, permit: Permit) -> None:
-        """Give back a permit's place; called by the permit."""
+        """Return the slot and the limit shares of a permit; called by :meth:`Permit.release`."""
         request = permit.request
         reserved = self._reserved_upstreams_by_key.pop(
             (request.workspace, request.request_id), None
@@ -160,7 +164,7 @@
         self.admission.process_queue()
 
     async def _process_queue_forever(self) -> None:
-        """Look at waiting requests again and again; an idle router does not wake for it."""
+        """Process the queue periodically, but only while requests wait."""
         while True:
             await self.admission.wait_until_queued()
             await self._clock.sleep(QUEUE_INTERVAL_SECONDS)
--- a/packages/quinceferry-daemon/src/quinceferryd/target_queues.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/target_queues.py
@@ -1,4 +1,4 @@
-"""Admission state of the upstreams that serve one target."""
+"""Queue of the requests for one target, with an estimate of the waiting time."""
 
 from collections import deque
 
@@ -6,20 +6,22 @@
 from quinceferry_core.queues import FairQueue, QueueEntry
 
 RATE_WINDOW_SECONDS = 5.0
-"""Admissions of this long are counted to predict waits."""
+"""Sliding window of the admission rate that predicts waiting times."""
 MIN_NONEMPTY_SECONDS = 1.0
-"""A queue must have been non-empty for so long before its rate says anything."""
+"""How long a queue must have been non-empty before its admission rate is used."""
 LONG_QUEUE_WAIT_FACTOR = 2.0
-"""How many times as long a queue of long work is watched, and may be waited in."""
+"""Factor on the rate window and on the maximum wait for queues of long requests."""
 
 
 class TargetQueue:
-    """Queue of one target, with the rate at which it has been moving.
+    """Queue of one target, with its recent admission rate.
 
-    Long and live requests for the same target use separate pools, so that a long request at the
-    head of its queue does not hold up the others.
+    Long and short requests for the same target use separate queues, so that a long request at the
+    head of the queue does not block the short ones.
 
-    :param is_long: whether this is a queue of long requests, which move more slowly.
+    :param max_entries: maximum number of waiting requests.
+    :param max_workspace_share: largest share of the queue that one workspace may fill.
+    :param is_long: whether this queue holds long requests, which are admitted more slowly.
     """
 
     def __init__(
@@ -42,11 +44,12 @@
         self._drop_expired_admissions(now)
 
     def expected_wait_seconds(self, priority: Priority, now: float) -> float:
-        """Return the seconds that a new request of a class would wait.
+        """Return the seconds that a new request of a priority would wait.
 
-        The queue ahead is divided by the rate of all admissions, and the class's own part of it by
-        the rate of the class, which higher classes may have pushed aside. A queue that has not
-        moved while it was watched is taken to move once in that time.
+        Two estimates are computed and the longer one is returned: all requests ahead divided by the
+        overall admission rate, and the requests of the same priority divided by the admission rate
+        of that priority, which higher priorities may have slowed. Without any admission in the
+        window, one admission per window is assumed.
         """
         self._drop_expired_admissions(now)
         ahead = self.fair_queue.count_up_to_class(priority)
--- a/packages/quinceferry-daemon/src/quinceferryd/tracking.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/tracking.py
@@ -1,4 +1,4 @@
-"""What this router knows of each upstream, put together for choosing one."""
+"""State of each upstream as observed by this router: load, cached prefixes and failures."""
 
 from dataclasses import dataclass, field
 
@@ -24,20 +24,24 @@
 from quinceferryd.upstream_views import UpstreamView, estimate_prompt_tokens
 
 HEADROOM_SHARE_BY_PRIORITY = {Priority.HIGH: 0.125, Priority.NORMAL: -0.1875, Priority.LOW: -0.25}
-"""Part of an engine's slots that a class may fill beyond them, or must leave free."""
+"""Share of an engine's slots that a priority may exceed, or, if negative, must leave free."""
 RETENTION_SECONDS = 60.0
-"""How long an upstream that is no longer polled is remembered."""
+"""How long the state of an upstream is kept after its last report or failure."""
 LOAD_CACHE_SECONDS = 0.02
-"""How long a corrected load is used again, unless something was sent, ended or reported."""
+"""How long a corrected load is cached, unless a request or report invalidates it."""
 IDLE_SLOT_SHARE = 0.05
-"""Part of its slots below which an engine with nothing queued counts as idle."""
+"""Share of occupied slots below which an engine with an empty queue counts as idle."""
 MIN_CACHED_BLOCK_SHARE = 0.6
-"""Part of a prompt's blocks that must be cached for its prefix to count as held."""
+"""Share of a prompt's blocks that must be cached for its prefix to count as cached."""
 
 
 @dataclass(slots=True)
 class _UpstreamHistory:
-    """Own history with one upstream; times are in monotonic seconds."""
+    """This router's own requests to one upstream, and estimates derived from them.
+
+    Times are in monotonic seconds. ``others_load`` is the number of requests that other routers
+    had at the upstream in its last report.
+    """
 
     backlog: PrefillBacklog
     ledger: InFlightTracker = field(default_factory=InFlightTracker)
@@ -50,14 +54,14 @@
 
 
 class UpstreamTracker(UpstreamView):
-    """Adds this router's own history with each upstream to what the blackboard says."""
+    """Combines the blackboard's view of each upstream with this router's own requests there."""
 
     def __init__(self, blackboard: Blackboard, clock: Clock, settings: RoutingSettings) -> None:
         super().__init__(blackboard, clock, settings)
         self._histories_by_id: dict[UpstreamId, _UpstreamHistory] = {}
 
     def load(self, upstream: UpstreamId) -> CorrectedLoad:
-        """Return the load of an upstream now, corrected by own history."""
+        """Return the current load of an upstream: its last report, corrected by own requests."""
         history = self._history(upstream)
         now = self._clock.monotonic()
         if history.corrected_load is None or now - history.corrected_at > LOAD_CACHE_SECONDS:
@@ -82,8 +86,11 @@
     def free_slots(self, upstream: UpstreamId, headroom_share: float, is_long: bool) -> float:
         """Return how many more requests this router may send to an upstream.
 
-        :param headroom: part of the slots that may be filled beyond them; negative keeps some free.
-        :param is_long: long prompts wait for the backlog of an idle engine, too.
+        The result is zero while the prefill backlog of the upstream is full. The backlog is ignored
+        for a positive headroom, and for short prompts at an idle engine.
+
+        :param headroom_share: share of the slots that may be exceeded; a negative share stays free.
+        :param is_long: whether the request has a long prompt.
         """
         load = self.load(upstream)
         history = self._history(upstream)
@@ -104,18 +111,21 @@
         return free_slots if uncached_tokens < self._max_backlog_tokens() else 0.0
 
     def accepts_long_prompt(self, upstream: UpstreamId) -> bool:
-        """Return whether long prompts that an upstream must read whole leave it a free part."""
+        """Return whether an upstream has a slot left in its share for long uncached prompts."""
         max_long_prompts = max(1.0, self._settings.long_work_share * self.load(upstream).slots)
         return len(self._history(upstream).long_prompt_keys) < max_long_prompts
 
     def _is_idle(self, upstream: UpstreamId, load: CorrectedLoad) -> bool:
-        """Return whether an upstream says that it reads prompts as fast as they come."""
+        """Return whether an upstream reports an empty queue and few occupied slots."""
         report = self.status(upstream).report
         has_empty_queue = report is not None and not (report.queued_tokens or report.waiting)
         return has_empty_queue and load.occupied < IDLE_SLOT_SHARE * load.slots
 
     def _reported_uncached_tokens(self, upstream: UpstreamId) -> float:
-        """Return this router's part of the unread prompt tokens that an upstream reported."""
+        """Return the estimated uncached tokens of this router's requests in the last report.
+
+        Tokens that the upstream has prefilled since the report was sampled are subtracted.
+        """
         status = self.status(upstream)
         if status.report is None:
             return 0.0
@@ -127,27 +137,28 @@
         return min(own_tokens, status.report.queued_tokens) - prefilled_tokens
 
     def free_slots_for(self, request: CallerRequest, upstream: UpstreamId) -> float:
-        """Return how many more requests like this one an upstream may get."""
+        """Return how many more requests of this priority and length an upstream may receive."""
         return self.free_slots(
             upstream, HEADROOM_SHARE_BY_PRIORITY[request.priority], self.is_long(request)
         )
 
     def cached_tokens(self, upstream: UpstreamId, hashes: tuple[int, ...], tokens: int) -> int:
-        """Return how many of a prompt's tokens are believed to be in an upstream's cache."""
+        """Return the estimated number of a prompt's tokens that an upstream caches."""
         if not hashes:
             return 0
         matched = self._history(upstream).prefixes.matched_blocks(hashes)
         return tokens * matched // (len(hashes) + 1)
 
     def has_cached_prefix(self, upstream: UpstreamId, hashes: tuple[int, ...]) -> bool:
-        """Return whether most of a prompt's blocks are believed to be in an upstream's cache."""
+        """Return whether an upstream is estimated to cache most blocks of a prompt."""
         matched = self._history(upstream).prefixes.matched_blocks(hashes)
         return matched >= MIN_CACHED_BLOCK_SHARE * len(hashes)
 
     def record_sent(self, request: CallerRequest, upstream: UpstreamId) -> None:
-        """Note that a request will be sent, once its dispatch is recorded; a repeat does nothing.
+        """Record that a request will be sent once its dispatch is recorded.
 
-        A repeat would find the prompt in the cache that the first call has just noted it in.
+        Repeated calls for a request are ignored: they would count the prompt as cached, because the
+        first call has already added it to the prefix index.
         """
         history = self._history(upstream)
         key = request_key(request)
@@ -164,21 +175,21 @@
             history.long_prompt_keys.add(key)
 
     def record_dispatched(self, request: CallerRequest, upstream: UpstreamId) -> None:
-        """Note that a request's dispatch is recorded and its first byte is leaving."""
+        """Record that a request's dispatch is recorded and its first byte is about to be sent."""
         history = self._history(upstream)
         history.corrected_load = None
         history.ledger.record_sent(request_key(request), self._clock.monotonic())
         history.backlog.record_dispatch(request_key(request), self._clock.monotonic())
 
     def record_first_token(self, request: CallerRequest, upstream: UpstreamId) -> None:
-        """Note the first token of an answer."""
+        """Record the first token of an answer."""
         history = self._history(upstream)
         history.corrected_load = None
         history.ledger.record_first_token(request_key(request), self._clock.monotonic())
         history.backlog.remove(request_key(request))
 
     def record_ended(self, request: CallerRequest, upstream: UpstreamId) -> None:
-        """Note that a request has left an upstream."""
+        """Record that a request has ended at an upstream."""
         history = self._history(upstream)
         history.corrected_load = None
         history.ledger.record_end(request_key(request), self._clock.monotonic())
@@ -186,17 +197,17 @@
         history.long_prompt_keys.discard(request_key(request))
 
     def record_failure(self, upstream: UpstreamId) -> None:
-        """Note that a connection to an upstream failed."""
+        """Record a failed connection to an upstream."""
         status = self.status(upstream)
         status.failures += 1
         status.failed_at = self._clock.monotonic()
 
     def record_success(self, upstream: UpstreamId) -> None:
-        """Note that an upstream answered."""
+        """Record a complete answer of an upstream, which resets its failure count."""
         self.status(upstream).failures = 0
 
     def apply_report(self, upstream: UpstreamId, report: LoadReport) -> None:
-        """Store a load report that has just arrived."""
+        """Store a load report that has just arrived, and update the estimated growth."""
         status = self.status(upstream)
         history = self._history(upstream)
         now = self._clock.monotonic()
@@ -210,19 +221,19 @@
         history.others_load = others_load
 
     def apply_events(self, upstream: UpstreamId, events: tuple[CacheEvent, ...]) -> None:
-        """Apply cache events."""
+        """Apply cache events to the prefix index of an upstream."""
         self._history(upstream).prefixes.apply(events)
 
     def last_event_sequence(self, upstream: UpstreamId) -> int:
-        """Return the sequence of the latest cache event applied."""
+        """Return the sequence number of the last cache event applied."""
         return self._history(upstream).prefixes.last_sequence
 
     def in_flight(self, upstream: UpstreamId) -> int:
-        """Return how many of this router's requests an upstream holds."""
+        """Return the number of this router's requests in flight at an upstream."""
         return self._history(upstream).ledger.in_flight()
 
     def remove_unused(self) -> None:
-        """Drop what is known of upstreams that are not configured, or silent, and hold nothing."""
+        """Remove upstreams without own requests that are unconfigured or long unreachable."""
         configured = self._blackboard.configuration.upstreams_by_id
         for upstream, status in list(self._blackboard.upstreams_by_id.items()):
             if upstream in configured and not self._is_removable(status):
@@ -232,13 +243,13 @@
                 del self._blackboard.upstreams_by_id[upstream]
 
     def _is_removable(self, status: UpstreamStatus) -> bool:
-        """Return whether an upstream has not reported for long and nothing is to be remembered."""
+        """Return whether an upstream was last seen too long ago and is not leaving."""
         last_seen_at = max(status.reported_at, status.failed_at)
         is_expired = self._clock.monotonic() - last_seen_at > RETENTION_SECONDS
         return is_expired and not status.leaving and not status.reported_leaving
 
     def _max_backlog_tokens(self) -> float:
-        """Return this router's part of the prompt tokens that may wait at one engine."""
+        """Return this router's share of the uncached tokens that may wait at one engine."""
         backlog = self._settings.max_prefill_backlog_seconds
         return self._settings.prefill_tokens_per_second * backlog / self.router_count()
 
--- a/packages/quinceferry-daemon/src/quinceferryd/upstream_views.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/upstream_views.py
@@ -1,4 +1,4 @@
-"""What the blackboard says of upstreams: which may get a request, and which are leaving."""
+"""View of the upstreams on the blackboard: which are eligible, leaving or failing."""
 
 import math
 
@@ -17,14 +17,13 @@
 from quinceferryd.settings import RoutingSettings
 
 CHARS_PER_TOKEN = 4
-"""Rough size of a token, for costs only; budgets are reserved by an upper bound instead."""
+"""Approximate size of a token, for costs only; budgets are reserved by an upper bound instead."""
 MAX_COOLDOWN_SECONDS = 30.0
-"""Longest time an upstream counts as failing after its last failure."""
+"""Longest time for which an upstream counts as failing after its last failure."""
 MAX_REQUESTED_REPORTS = 4
-"""Stale reports asked for at once when no fresh one is left."""
-
+"""Upstreams whose load report is requested at once when no report is fresh."""
 MAX_LONG_WORK_UPSTREAM_SHARE = 2 / 3
-"""Part of the upstreams that long work may spread to; a lone one takes all work."""
+"""Share of the upstreams that long work may use; a single upstream takes all work."""
 
 _LONG_WORK_KEY = "long work"
 
@@ -32,7 +31,7 @@
 class UpstreamView:
     """Combines configuration, VM list and load reports for each upstream.
 
-    :param blackboard: read, but for the status entries that are made when missing.
+    :param blackboard: shared state; only missing status entries are written.
     """
 
     def __init__(self, blackboard: Blackboard, clock: Clock, settings: RoutingSettings) -> None:
@@ -42,18 +41,20 @@
         self._indexed_configuration: Configuration | None = None
         self._services_by_name: dict[str, list[UpstreamSpec]] = {}
         self.requested_reports: set[UpstreamId] = set()
-        """Upstreams whose load report is needed at once; emptied by the load controller."""
+        """Upstreams whose load report is needed at once; cleared by the load controller."""
         self.has_unserved_target = False
-        """Whether a request found no known upstream for its target; reset by the load controller,
-        which then looks at more of the others."""
+        """Whether no polled upstream serves the target of a request.
+
+        Reset by the load controller, which then polls more of the other upstreams.
+        """
 
     def eligible_upstreams(
         self, request: CallerRequest, excluded: frozenset[UpstreamId] = frozenset()
     ) -> list[UpstreamSpec]:
-        """Return the upstreams that may get the request now.
+        """Return the upstreams to which the request can be sent now.
 
-        They serve its target, are not leaving, and have a fresh load report, since a stale one may
-        hide that the upstream is leaving. When all reports are stale, some are asked for.
+        They serve its target, are not leaving, and have a fresh load report, since a stale report
+        may hide that the upstream is leaving. When all reports are stale, some are requested.
         """
         non_leaving = [
             spec for spec in self.non_leaving_upstreams(request) if spec.id not in excluded
@@ -64,16 +65,16 @@
         return fresh
 
     def long_work_upstreams(self, specs: list[UpstreamSpec]) -> set[UpstreamId]:
-        """Return the few upstreams that long work is sent to first; every router names the same.
+        """Return the few upstreams that receive long work first, the same on every router.
 
-        A long prompt holds up an engine's prefill and evicts what its cache holds.
+        A long prompt delays the other prefills of an engine and evicts prefixes from its cache.
         """
         return set(self._long_work_order(specs)[: self._long_work_count(len(specs))])
 
     def overflow_upstreams(self, specs: list[UpstreamSpec]) -> set[UpstreamId]:
-        """Return the upstreams that take long work while the first few have no room for it.
+        """Return the upstreams that receive long work when the first few have no free slot for it.
 
-        The others are left to live work.
+        The remaining upstreams run short requests only.
         """
         first_count = self._long_work_count(len(specs))
         max_count = max(first_count, math.floor(MAX_LONG_WORK_UPSTREAM_SHARE * len(specs)))
@@ -91,7 +92,7 @@
         return [spec for spec in self.serving_upstreams(request) if not self.is_leaving(spec)]
 
     def serving_upstreams(self, request: CallerRequest) -> list[UpstreamSpec]:
-        """Return the upstreams known to have the request's target, leaving or not."""
+        """Return the upstreams that are known to serve the request's target, leaving or not."""
         specs_by_id = self._blackboard.configuration.upstreams_by_id
         if request.kind is RequestKind.SERVICE:
             return self._services_named(request.target.model)
@@ -103,11 +104,14 @@
         return [spec for spec in known_specs if self._has_loaded(spec, request)]
 
     def is_leaving(self, spec: UpstreamSpec) -> bool:
-        """Return whether any sign says that an upstream is leaving."""
+        """Return whether an upstream is leaving by this router's sources or another router's."""
         return self.status(spec.id).reported_leaving or self.is_observed_leaving(spec)
 
     def is_observed_leaving(self, spec: UpstreamSpec) -> bool:
-        """Return whether the VM list or the upstream itself says so, not another router."""
+        """Return whether the VM list or the upstream itself reports that it is leaving.
+
+        Reports of other routers do not count.
+        """
         status = self.status(spec.id)
         vm = self._blackboard.vms_by_id.get(spec.vm)
         is_listed_leaving = vm is not None and vm.state is VmState.LEAVING
@@ -115,7 +119,10 @@
         return status.leaving or is_listed_leaving or is_reported_leaving
 
     def is_failing(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream failed lately; the time grows with each failure in a row."""
+        """Return whether an upstream is in the cooldown after a failure.
+
+        The cooldown doubles with each consecutive failure.
+        """
         status = self.status(upstream)
         if not status.failures:
             return False
@@ -127,11 +134,14 @@
         return estimate_prompt_tokens(request) >= self._settings.long_prompt_tokens
 
     def status(self, upstream: UpstreamId) -> UpstreamStatus:
-        """Return the upstream's entry on the blackboard, made when missing."""
+        """Return the upstream's status on the blackboard, created if missing."""
         return self._blackboard.upstreams_by_id.setdefault(upstream, UpstreamStatus())
 
     def has_fresh_report(self, spec: UpstreamSpec) -> bool:
-        """Return whether an upstream's load report is fresh; a service need not report."""
+        """Return whether an upstream's load report is fresh.
+
+        A plain service without any report counts as fresh.
+        """
         status = self.status(spec.id)
         if status.report is None:
             return spec.kind is UpstreamKind.SERVICE
@@ -145,7 +155,7 @@
         return model_is_loaded(request.target, report.loaded)
 
     def _services_named(self, name: str) -> list[UpstreamSpec]:
-        """Return the plain services of a name, indexed anew with each configuration."""
+        """Return the plain services of a name from an index built once per configuration."""
         configuration = self._blackboard.configuration
         if self._indexed_configuration is not configuration:
             self._indexed_configuration = configuration
@@ -161,5 +171,5 @@
 
 
 def estimate_prompt_tokens(request: CallerRequest) -> int:
-    """Estimate the prompt's tokens, for costs only."""
+    """Estimate the number of prompt tokens, for costs only."""
     return max(1, len(request.prompt or request.body) // CHARS_PER_TOKEN)
