--- a/packages/quinceferry-daemon/src/quinceferryd/answers.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/answers.py
@@ -1,4 +1,4 @@
-"""Answers of model engines in the form that OpenAI client libraries read."""
+"""Encoding of engine answers in the format of the OpenAI API."""
 
 import msgspec
 
@@ -7,14 +7,14 @@
 from quinceferryd.refusals import error_document
 
 DONE = b"data: [DONE]\n\n"
-"""Last line of a complete streamed answer."""
+"""Final event of a complete streamed answer."""
 
 _EVENT_END = b"\n\n"
 _encode = msgspec.json.Encoder().encode
 
 
 class UsageDocument(msgspec.Struct, frozen=True):
-    """Tokens of one answer."""
+    """Token counts of one answer."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -22,14 +22,15 @@
 
 
 class AnswerFormat:
-    """Renders the answer of one request.
+    """Encodes the answer of one request.
 
-    The constant parts are encoded once, so that a streamed token costs one small encoding.
+    The constant parts of a chunk are encoded once, so that each streamed token needs only the
+    encoding of its text.
 
     :param kind: chat or text completion.
-    :param request_id: the request's identifier.
-    :param model: the model as the caller named it.
-    :param created: wall-clock time of the request, in seconds since 1970.
+    :param request_id: identifier of the request.
+    :param model: model name as the caller sent it.
+    :param created: time of the request, in seconds since 1970.
     """
 
     def __init__(self, kind: RequestKind, request_id: str, model: str, created: int) -> None:
@@ -47,18 +48,18 @@
         self._after_text = close + b',"logprobs":null,"finish_reason":null}]}' + _EVENT_END
 
     def opening_event(self) -> bytes:
-        """Return the event that opens a streamed answer; empty for a text completion."""
+        """Return the first event of a streamed answer; empty for a text completion."""
         if not self._is_chat:
             return b""
         delta = {"role": "assistant", "content": ""}
         return self._event([{"index": 0, "delta": delta, "finish_reason": None}])
 
     def text_event(self, text: str) -> bytes:
-        """Return the event of one piece of text."""
+        """Return the event for one chunk of text."""
         return self._before_text + _encode(text) + self._after_text
 
     def finish_event(self, finish_reason: str) -> bytes:
-        """Return the event that ends the text."""
+        """Return the event with the finish reason, which ends the text."""
         piece = {"delta": {}} if self._is_chat else {"text": ""}
         return self._event([{"index": 0, **piece, "finish_reason": finish_reason}])
 
@@ -67,7 +68,7 @@
         return self._event([], usage=_usage_document(usage))
 
     def whole_document(self, text: str, finish_reason: str, usage: Usage) -> bytes:
-        """Return the document of a whole answer."""
+        """Return the JSON document of a complete answer."""
         message = {"role": "assistant", "content": text}
         piece = {"message": message} if self._is_chat else {"text": text}
         choice = {"index": 0, **piece, "logprobs": None, "finish_reason": finish_reason}
@@ -81,7 +82,7 @@
         )
 
     def _event(self, choices: list[object], **fields: object) -> bytes:
-        """Return one event."""
+        """Encode one event."""
         document = {
             **self._common_fields,
             "object": self._chunk_object,
@@ -92,10 +93,10 @@
 
 
 def error_event(failed: Failed, request_id: str) -> bytes:
-    """Return the event that ends a streamed answer which broke off."""
+    """Return the event that ends an interrupted streamed answer."""
     return b"event: error\ndata: " + error_document(failed, request_id) + _EVENT_END
 
 
 def _usage_document(usage: Usage) -> UsageDocument:
-    """Return the usage as callers read it."""
+    """Return the usage in the format of the OpenAI API."""
     return UsageDocument(usage.prompt_tokens, usage.output_tokens, usage.total)
--- a/packages/quinceferry-daemon/src/quinceferryd/bodies.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/bodies.py
@@ -1,4 +1,4 @@
-"""Request bodies and the memory they hold."""
+"""Request bodies, read within limits on their size and total memory."""
 
 import asyncio
 from typing import Any
@@ -13,16 +13,16 @@
 
 
 class BodyMemory:
-    """Bounds the request bodies held at once.
+    """Limits the total memory of buffered request bodies.
 
-    :param max_total_bytes: bytes that all bodies together may hold.
+    :param max_total_bytes: maximum size of all buffered bodies together.
     """
 
     def __init__(self, max_total_bytes: int) -> None:
         self._free_bytes = max_total_bytes
 
     def reserve(self, size: int) -> bool:
-        """Reserve bytes; false when too few are free."""
+        """Reserve bytes; return false if too few are free."""
         if size > self._free_bytes:
             return False
         self._free_bytes -= size
@@ -34,7 +34,7 @@
 
 
 class BufferedBody:
-    """A body whose bytes are reserved until it is released."""
+    """A request body whose bytes stay reserved until it is released."""
 
     __slots__ = ("_reserved_bytes", "_memory", "data")
 
@@ -44,14 +44,14 @@
         self.data = b""
 
     def grow(self, size: int) -> bool:
-        """Reserve more bytes; false when too few are free."""
+        """Reserve more bytes; return false if too few are free."""
         if not self._memory.reserve(size):
             return False
         self._reserved_bytes += size
         return True
 
     def release(self) -> None:
-        """Release all bytes; idempotent."""
+        """Release all reserved bytes. Idempotent."""
         self._memory.release(self._reserved_bytes)
         self._reserved_bytes = 0
 
@@ -59,11 +59,12 @@
 async def read_body(
     request: Request[Any, Any, Any], max_bytes: int, timeout_seconds: float, memory: BodyMemory
 ) -> Result[BufferedBody, Failed]:
-    """Read a body within the bounds of one body and of all together.
+    """Read a body within the limits on its size, its duration and the total memory.
 
-    :param max_bytes: greatest size of this body.
-    :param timeout_seconds: how long the whole body may take to arrive.
-    :return: the body, which the caller must release.
+    :param max_bytes: maximum size of this body.
+    :param timeout_seconds: time limit for receiving the whole body.
+    :param memory: total memory from which the bytes are reserved.
+    :return: the body, which the caller must release, or the refusal.
     """
     body = BufferedBody(memory)
     try:
@@ -84,7 +85,7 @@
 async def _read_into(
     body: BufferedBody, request: Request[Any, Any, Any], max_bytes: int
 ) -> Failed | None:
-    """Read a body as it arrives; return why it is refused, if it is."""
+    """Read a body as it arrives; return the refusal if it exceeds a limit."""
     pieces: list[bytes] = []
     size = 0
     async for piece in request.stream():
--- a/packages/quinceferry-daemon/src/quinceferryd/caller_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/caller_api.py
@@ -1,4 +1,4 @@
-"""HTTP interface for callers, in the form that OpenAI client libraries use."""
+"""HTTP API for callers, compatible with OpenAI client libraries."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -57,10 +57,10 @@
 
 
 class CallerApi:
-    """Handles calls of callers.
+    """Handles the requests of callers.
 
     :param application: the router.
-    :param bodies: memory for request bodies.
+    :param bodies: limit on the memory of request bodies.
     """
 
     def __init__(self, application: RouterApplication, bodies: BodyMemory) -> None:
@@ -82,7 +82,7 @@
         return await self._authenticate_and_answer(request, answer)
 
     async def serve(self, request: HttpRequest, service: str) -> ASGIApp:
-        """Pass a request through to a plain service."""
+        """Pass a request on to a plain service."""
 
         async def answer(workspace: WorkspaceSpec) -> Reply:
             return await self._with_body(
@@ -92,7 +92,7 @@
         return await self._authenticate_and_answer(request, answer)
 
     async def outcome(self, request: HttpRequest, request_id: str) -> ASGIApp:
-        """Tell a workspace what became of one of its own requests."""
+        """Return the outcome of one of the workspace's own requests."""
 
         async def answer(workspace: WorkspaceSpec) -> Reply:
             pipeline = self._application.pipeline
@@ -105,7 +105,7 @@
         return await self._authenticate_and_answer(request, answer)
 
     async def address(self, request: HttpRequest) -> ASGIApp:
-        """Tell a workspace which routers to use."""
+        """Return the addresses of the routers that a workspace should use."""
 
         async def answer(workspace: WorkspaceSpec) -> Reply:
             zone = request.query_params.get("zone", "")
@@ -131,7 +131,7 @@
     async def _authenticate_and_answer(
         self, request: HttpRequest, answer: Callable[[WorkspaceSpec], Awaitable[Reply]]
     ) -> ASGIApp:
-        """Authenticate a caller and answer it."""
+        """Authenticate a caller and answer its request, or respond with an error."""
         match self._authenticate(request):
             case Success(workspace):
                 reply = await answer(workspace)
@@ -147,7 +147,10 @@
     async def _with_body(
         self, request: HttpRequest, handle_body: Callable[[BufferedBody], Reply]
     ) -> Reply:
-        """Read the body and use it; it is released unless the response now holds it."""
+        """Read the body and pass it to a handler.
+
+        The body is released here if the handler fails; otherwise the response releases it.
+        """
         bounds = (self._settings.max_body_bytes, self._settings.body_timeout_seconds)
         match await read_body(request, *bounds, self._bodies):
             case Success(body):
@@ -159,7 +162,7 @@
         return reply
 
     def _authenticate(self, request: HttpRequest) -> Result[WorkspaceSpec, Failed]:
-        """Authenticate a caller."""
+        """Return the workspace of the caller's key, or the refusal."""
         blackboard = self._application.blackboard
         if blackboard.state is RouterState.STARTING:
             return Failure(_not_joined_refusal(request))
@@ -204,7 +207,7 @@
         return call.map(lambda call: self._run(call, body, self._service_sink_factory(call)))
 
     def _completion_sink_factory(self, call: CompletionCall) -> SinkFactory:
-        """Return what makes the sink of a completion's answer."""
+        """Return a factory of sinks for a completion's answer."""
         request = call.request
         created = int(self._application.clock.now().timestamp())
         answer_format = AnswerFormat(request.kind, request.request_id, str(request.target), created)
@@ -215,7 +218,7 @@
         return lambda writer: WholeAnswer(writer, answer_format, request.request_id)
 
     def _service_sink_factory(self, call: CallerRequest) -> SinkFactory:
-        """Return what makes the sink of a service's response."""
+        """Return a factory of sinks for a service's response."""
         limit = self._settings.max_service_response_bytes
         return lambda writer: ServiceAnswer(writer, call.request_id, limit)
 
@@ -238,32 +241,33 @@
         return self._respond(lambda writer: writer.respond(200, [JSON_HEADER, _NO_STORE], body))
 
     def _error_response(self, workspace: WorkspaceId | None, failed: Failed) -> ASGIApp:
-        """Return an error response to a request that was not submitted."""
+        """Return the error response to a request that was not submitted to the pipeline."""
         self._application.metrics.refused(workspace, failed.reason)
         return self._respond(lambda writer: write_failure(writer, failed))
 
     def _respond(self, relay: Relay) -> ASGIApp:
-        """Return a response; a stopping router asks callers to leave their connections."""
+        """Return a response; unless the router is serving, it asks callers to close connections."""
         stopping = self._application.blackboard.state is not RouterState.SERVING
         return RelayResponse(relay, self._write_timeout_seconds, _CLOSE if stopping else ())
 
 
 def _not_ready_refusal(detail: str) -> Failed:
-    """Return the refusal of a call that can be made again in a moment."""
+    """Return the refusal of a call that can be retried after a short delay."""
     return refusal(RefusalReason.ROUTER_NOT_READY, detail, _NOT_READY_RETRY_SECONDS)
 
 
 def _not_joined_refusal(request: HttpRequest) -> Failed:
     """Return the refusal of a router that is not a member yet.
 
-    A ticket names another router, which may have run the request already.
+    The outcome of a request with a ticket is unknown: the router that the ticket names may have run
+    it already.
     """
     failed = _not_ready_refusal("this router has not joined the fleet yet")
     return replace(failed, outcome=Unknown()) if TICKET_HEADER in request.headers else failed
 
 
 def _service_target(request: HttpRequest) -> str:
-    """Return path and query below the service's root, in the caller's own encoding."""
+    """Return the path and query below the service's root, encoded as received."""
     raw_path = request.scope["raw_path"].decode("ascii", "replace")
     parts_below = raw_path.split("/", _SERVICE_PATH_PARTS)[_SERVICE_PATH_PARTS:]
     query = request.scope["query_string"].decode("ascii", "replace")
@@ -271,7 +275,7 @@
 
 
 def caller_routes() -> Router:
-    """Return the routes for callers; they use the ``caller_api`` of the server's state."""
+    """Return the routes for callers, which use ``caller_api`` of the application state."""
     handlers = [_chat, _completion, _models, _address, _request_outcome, _service]
     return Router("", route_handlers=handlers)
 
--- a/packages/quinceferry-daemon/src/quinceferryd/caller_documents.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/caller_documents.py
@@ -1,4 +1,4 @@
-"""JSON documents that callers receive, other than answers and errors."""
+"""JSON documents returned to callers, other than answers and errors."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class OutcomeDocument(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What became of a request."""
+    """Outcome of a request: whether it ran, with the proof or the usage."""
 
     request_id: str
     outcome: str
@@ -17,7 +17,7 @@
 
 
 class AddressDocument(msgspec.Struct, frozen=True):
-    """Addresses to use, for how long, and the ticket to send with non-idempotent requests."""
+    """Router addresses, their validity, and the ticket for non-idempotent requests."""
 
     addresses: tuple[str, ...]
     ttl_seconds: float
@@ -34,14 +34,14 @@
 
 
 class ModelListDocument(msgspec.Struct, frozen=True):
-    """All models that a workspace may use."""
+    """List of the models that a workspace may use."""
 
     data: list[ModelDocument]
     object: str = "list"
 
 
 def outcome_document(request_id: str, outcome: Outcome) -> OutcomeDocument:
-    """Return what a caller is told of an outcome."""
+    """Return the document that describes an outcome to a caller."""
     return OutcomeDocument(
         request_id,
         outcome_word(outcome),
--- a/packages/quinceferry-daemon/src/quinceferryd/caller_requests.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/caller_requests.py
@@ -1,4 +1,4 @@
-"""Reads and validates the bodies that callers send."""
+"""Parsing and validation of callers' request bodies."""
 
 from dataclasses import dataclass
 
@@ -40,7 +40,10 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """Fields of both completion calls that the router reads; the rest is passed on unread."""
+    """Fields of chat and text completions that the router reads.
+
+    All other fields are passed on as received.
+    """
 
     model: str
     messages: list[ChatMessage] = []
@@ -60,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CompletionCall:
-    """A valid completion request, and whether a streamed answer ends with its usage."""
+    """A validated completion request, and whether its streamed answer ends with the usage."""
 
     request: CallerRequest
     include_usage: bool
@@ -76,10 +79,12 @@
     workspace: WorkspaceSpec,
     configuration: Configuration,
 ) -> Result[CompletionCall, Failed]:
-    """Read the body of a completion request.
+    """Parse and validate the body of a completion request.
 
     :param kind: chat or text completion.
-    :param document: the body as received.
+    :param document: body as received.
+    :param options: options from the request's headers.
+    :return: the validated call, or the refusal.
     """
     try:
         body = _body_decoder.decode(document)
@@ -110,10 +115,12 @@
     options: RequestOptions,
     workspace: WorkspaceSpec,
 ) -> Result[CallerRequest, Failed]:
-    """Read a request to a plain service.
+    """Validate a request to a plain service.
 
-    :param path: path and query below the service's root, beginning with a slash.
+    :param path: path and query below the service's root, starting with a slash.
     :param content_type: media type of the body, passed on as received.
+    :param options: options from the request's headers.
+    :return: the validated request, or the refusal.
     """
     if service not in workspace.services:
         detail = f"the service {service!r} does not exist or is not attached to this workspace"
@@ -145,7 +152,7 @@
     options: RequestOptions,
     workspace: WorkspaceSpec,
 ) -> CallerRequest:
-    """Return the validated request."""
+    """Build the request of a validated completion."""
     return CallerRequest(
         workspace=workspace.id,
         request_id=options.request_id,
@@ -163,7 +170,10 @@
 
 
 def _unsupported_detail(kind: RequestKind, body: CompletionBody) -> str:
-    """Return what in a body the router cannot bound or relay; empty when it is fine."""
+    """Return why a body is not supported, or "" if it is.
+
+    The router rejects what it cannot bound in tokens or relay.
+    """
     if kind is RequestKind.CHAT and not body.messages:
         return "messages must not be empty"
     if kind is RequestKind.COMPLETION and not _completion_prompt(body):
@@ -178,7 +188,7 @@
 
 
 def _non_text_parts(body: CompletionBody) -> list[ContentPart]:
-    """Return all parts that are not text."""
+    """Return all content parts that are not text."""
     return [
         part
         for message in body.messages
@@ -189,12 +199,12 @@
 
 
 def _unsupported_part_detail(part: ContentPart) -> str:
-    """Say that a content part is not supported."""
+    """Return the error detail for an unsupported content part."""
     return f"content of type {part.type!r} is not supported, only text"
 
 
 def _output_cap(body: CompletionBody, model: ModelSpec) -> Result[int, Failed]:
-    """Return the greatest number of output tokens."""
+    """Return the maximum number of output tokens, or the refusal of an invalid value."""
     requested_tokens = body.max_completion_tokens
     if requested_tokens is None:
         requested_tokens = body.max_tokens
@@ -211,7 +221,7 @@
 
 
 def _chat_prompt(body: CompletionBody) -> str:
-    """Return everything of a chat that the model reads, one ``role: content`` line a message."""
+    """Return all chat content that the engine prefills, as ``role: content`` lines."""
     lines = [line for message in body.messages for line in _message_lines(message)]
     fields_by_name = {
         "tools": body.tools,
--- a/packages/quinceferry-daemon/src/quinceferryd/fingerprints.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/fingerprints.py
@@ -1,4 +1,4 @@
-"""Digests of what callers ask for."""
+"""Digests that identify the content of requests."""
 
 import hashlib
 
@@ -8,7 +8,7 @@
 
 
 def fingerprint(request: CallerRequest) -> bytes:
-    """Return a digest of what makes a repeated request the same one."""
+    """Return a digest of the target, method, path, prompt and body of a request."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (str(request.target), request.method, request.path, request.prompt):
         digest.update(part.encode())
--- a/packages/quinceferry-daemon/src/quinceferryd/forwards.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/forwards.py
@@ -1,4 +1,4 @@
-"""Relays a request to another router and its answer back."""
+"""Forwarding of requests to other routers."""
 
 from contextlib import aclosing
 from dataclasses import replace
@@ -18,6 +18,7 @@
 from quinceferryd.runs import RequestRun
 
 FORWARD_RETRY_SECONDS = 2.0
+"""Retry delay suggested to a caller whose request could not be forwarded."""
 
 NO_PEER_REACHED = Failed(
     RefusalReason.BUDGET_UNREACHABLE,
@@ -29,10 +30,10 @@
 
 
 async def forward(peers: PeerClient, address: str, request: CallerRequest) -> AnswerStream:
-    """Return the answer that a peer gives to a request.
+    """Send a request to a peer and yield the events of its answer.
 
     :param address: address of the peer.
-    :raises PeerUnavailableError: the connection failed or broke.
+    :raises PeerUnavailableError: the connection failed or was interrupted.
     """
     forwarded_request = replace(request, forwarded=True)
     async with aclosing(peers.forward(address, forwarded_request)) as events:
@@ -41,7 +42,7 @@
 
 
 class Forwarder:
-    """Has other routers run idempotent requests that this one has no tokens for."""
+    """Forwards idempotent requests to other routers when this one has no tokens for them."""
 
     def __init__(self, peers: PeerClient) -> None:
         self._peers = peers
@@ -53,11 +54,15 @@
         members: tuple[Member, ...],
         no_peer_failure: Failed = NO_PEER_REACHED,
     ) -> None:
-        """Publish the answer of the first peer that can run a request, or why none can.
+        """Publish the answer of the first peer that runs a request, or the last failure.
 
-        Once a peer may have begun it, a later peer's refusal no longer says that it was not run.
+        Once a peer may have begun the request, a refusal by a later peer no longer proves that it
+        was not run; the outcome is then unknown.
 
-        :param unreached: published if no peer is reached.
+        :param run: receives the events.
+        :param request: the request to forward.
+        :param members: peers to try, in this order.
+        :param no_peer_failure: failure to publish if no peer is reached.
         """
         run.was_forwarded = True
         failure = no_peer_failure
@@ -75,9 +80,10 @@
     async def _forward_to(
         self, run: RequestRun, request: CallerRequest, member: Member
     ) -> Failed | None:
-        """Relay one peer's answer.
+        """Forward a request to one peer and publish its answer.
 
-        :return: why there was none; None when the peer was not reached.
+        :return: the failure if the peer refused the request or its connection was interrupted; None
+            if it answered or was not reached.
         """
         try:
             async with aclosing(forward(self._peers, member.address, request)) as events:
--- a/packages/quinceferry-daemon/src/quinceferryd/http_connections.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/http_connections.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 connections that hand over all body bytes of a read at once.
+"""HTTP/1.1 client connections that return all body bytes of a socket read at once.
 
-One call of the parser library serves each read from the socket, so that a streamed token costs
-little CPU.
+Each read from the socket needs a single call of the parser library, which keeps the CPU cost per
+streamed token low.
 """
 
 import asyncio
@@ -10,15 +10,15 @@
 import httpx
 
 MAX_BUFFERED_BYTES = 256 * 1024
-"""Body bytes held for a slow reader before the socket is no longer read."""
+"""Body bytes buffered for a slow reader before reading from the socket is paused."""
 
-# Shared by all connections: the parser copies what it needs before the next read.
+# Shared by all connections, since the parser copies the data before the next read.
 _READ_BUFFER = memoryview(bytearray(64 * 1024))
 _FIRST_FINAL_STATUS = 200
 
 
 class HttpConnection(asyncio.BufferedProtocol):
-    """One connection; carries one exchange at a time."""
+    """One client connection, which carries one exchange at a time."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -38,14 +38,15 @@
 
     @property
     def reusable(self) -> bool:
-        """Return whether another exchange may follow."""
+        """Return whether the connection can carry another exchange."""
         return self._complete and self._keeps_alive and self._error is None
 
     def send(self, head: bytes, body: bytes, has_no_body: bool) -> None:
-        """Begin an exchange.
+        """Start an exchange.
 
-        :param head: request line and headers, with the empty line.
-        :param head_only: the answer has no body whatever its headers say.
+        :param head: request line and headers, including the final empty line.
+        :param body: body of the request.
+        :param has_no_body: whether the response has no body regardless of its headers.
         """
         assert self._transport is not None
         self.status = 0
@@ -59,15 +60,15 @@
     async def read_head(self) -> None:
         """Wait for the status and the headers.
 
-        :raises httpx.TransportError: the connection broke or the answer is malformed.
+        :raises httpx.TransportError: the connection was interrupted or the response is malformed.
         """
         while not self._head_complete:
             await self._wait()
 
     async def read_body(self) -> bytes:
-        """Wait for body bytes; return all that have arrived, or nothing at the end.
+        """Wait for body bytes and return all that have arrived, or ``b""`` at the end of the body.
 
-        :raises httpx.TransportError: the connection broke or the answer is malformed.
+        :raises httpx.TransportError: the connection was interrupted or the response is malformed.
         """
         while not self._body_parts:
             if self._complete:
@@ -81,21 +82,21 @@
         return data
 
     def abort(self) -> None:
-        """Drop the connection at once."""
+        """Close the connection immediately."""
         self._keeps_alive = False
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Keep the transport."""
+        """Store the transport; called by the event loop."""
         self._transport = transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where to read to."""
+        """Return the buffer for the next socket read."""
         return _READ_BUFFER
 
     def buffer_updated(self, size: int) -> None:
-        """Parse what was read; bytes outside an exchange break the connection."""
+        """Parse the bytes read; bytes outside an exchange are a protocol error."""
         if self._complete:
             self._break_connection(httpx.RemoteProtocolError("bytes outside an exchange"))
             return
@@ -108,7 +109,10 @@
         self._notify_reader()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note the end; an answer without a length is whole, any other is broken."""
+        """Handle the end of the connection.
+
+        It completes a response without a length; any other open response is incomplete.
+        """
         if self._ends_at_close and self._head_complete and error is None:
             self._complete = True
         if self._error is None:
@@ -116,11 +120,11 @@
         self._notify_reader()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect one header."""
+        """Store one response header; called by the parser."""
         self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Note how the answer ends; an interim answer is dropped."""
+        """Determine how the response ends; interim responses are ignored."""
         self.status = self._parser.get_status_code()
         if self.status < _FIRST_FINAL_STATUS:
             self.headers.clear()
@@ -132,17 +136,17 @@
         self._complete = self._has_no_body
 
     def on_body(self, data: bytes) -> None:
-        """Collect body bytes."""
+        """Buffer body bytes; called by the parser."""
         self._body_parts.append(data)
         self._buffered_bytes += len(data)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer."""
+        """Mark the response as complete; called by the parser."""
         if self._head_complete:
             self._complete = True
 
     async def _wait(self) -> None:
-        """Wait for something to arrive, or raise what broke the connection."""
+        """Wait for new data, or raise the error of the connection."""
         if self._error is not None:
             raise self._error
         self._waiter = asyncio.get_running_loop().create_future()
@@ -152,11 +156,11 @@
             self._waiter = None
 
     def _notify_reader(self) -> None:
-        """Wake the reader."""
+        """Wake the waiting reader, if there is one."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     def _break_connection(self, error: Exception) -> None:
-        """Break the connection for a fault of the peer."""
+        """Close the connection after a protocol error of the peer."""
         self._error = error
         self.abort()
--- a/packages/quinceferry-daemon/src/quinceferryd/http_transport.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/http_transport.py
@@ -1,4 +1,4 @@
-"""Connection pool for httpx that relays streamed answers at little cost."""
+"""Connection pool for httpx that streams responses at low CPU cost."""
 
 import asyncio
 from collections import defaultdict
@@ -10,7 +10,7 @@
 from quinceferryd.http_connections import HttpConnection
 
 FRESH_CONNECTION = "fresh_connection"
-"""Request extension: open a new connection, since an idle one may have been silently lost."""
+"""Request extension that opens a new connection, since an idle one may be closed undetected."""
 
 DEFAULT_IDLE_SECONDS = 15.0
 DEFAULT_MAX_IDLE_CONNECTIONS = 8
@@ -23,10 +23,10 @@
     """Pool of plain HTTP/1.1 connections.
 
     A connection error before the request was written is :class:`httpx.ConnectError` or
-    :class:`httpx.ConnectTimeout`; any other error may have come after bytes left.
+    :class:`httpx.ConnectTimeout`; after any other error, bytes may have been sent.
 
-    :param idle_seconds: how long a connection without an exchange is kept.
-    :param max_idle: most connections kept for one peer.
+    :param idle_seconds: how long an idle connection is kept.
+    :param max_idle_connections: maximum number of idle connections per peer.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._last_sweep_at = 0.0
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Send a request and return its answer, whose body is still to be read."""
+        """Send a request and return its response, whose body is read as a stream."""
         head = _request_head(request)
         body = await request.aread()
         timeouts = request.extensions.get("timeout", {})
@@ -59,14 +59,14 @@
         return httpx.Response(connection.status, headers=connection.headers, stream=stream)
 
     async def aclose(self) -> None:
-        """Drop all idle connections."""
+        """Close all idle connections."""
         for connections in self._idle_by_peer.values():
             for connection in connections:
                 connection.abort()
         self._idle_by_peer.clear()
 
     def release(self, peer: _Peer, connection: HttpConnection) -> None:
-        """Keep a connection for another exchange, or drop it."""
+        """Keep a connection for another exchange, or close it."""
         idle = self._idle_by_peer[peer]
         if not connection.reusable or len(idle) >= self._max_idle_connections:
             connection.abort()
@@ -78,7 +78,7 @@
             self._drop_expired(now)
 
     def _drop_expired(self, now: float) -> None:
-        """Drop connections that have been idle too long, of all peers."""
+        """Close the connections of all peers that have been idle too long."""
         self._last_sweep_at = now
         for peer, connections in list(self._idle_by_peer.items()):
             unexpired = [
@@ -93,7 +93,7 @@
                 del self._idle_by_peer[peer]
 
     def _pop_idle(self, peer: _Peer) -> HttpConnection | None:
-        """Return the connection that was used last, unless it has been idle too long."""
+        """Return the most recently used idle connection, or None if all are expired."""
         idle = self._idle_by_peer[peer]
         min_idle_since = asyncio.get_running_loop().time() - self._idle_seconds
         while idle:
@@ -105,7 +105,7 @@
 
 
 class _ResponseBody(httpx.AsyncByteStream):
-    """Body of one answer; closing it early drops the connection."""
+    """Body stream of one response; closing it early closes the connection."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
         self._closed = False
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Return body bytes as they arrive."""
+        """Yield body bytes as they arrive."""
         while True:
             if self._read_timeout_seconds is None:
                 data = await self._connection.read_body()
@@ -133,7 +133,7 @@
             yield data
 
     async def aclose(self) -> None:
-        """Give the connection back."""
+        """Return the connection to the pool. Idempotent."""
         if not self._closed:
             self._closed = True
             self._pool.release(self._peer, self._connection)
@@ -141,22 +141,22 @@
 
 @asynccontextmanager
 async def _read_timeout(seconds: float | None) -> AsyncIterator[None]:
-    """Limit a read.
+    """Limit the duration of a read.
 
-    :raises httpx.ReadTimeout: nothing came in time.
+    :raises httpx.ReadTimeout: the read timed out.
     """
     try:
         async with asyncio.timeout(seconds):
             yield
     except TimeoutError as error:
-        raise httpx.ReadTimeout(f"nothing within {seconds} s") from error
+        raise httpx.ReadTimeout(f"no data received within {seconds} s") from error
 
 
 async def _connect(peer: _Peer, seconds: float | None) -> HttpConnection:
     """Open a connection.
 
     :raises httpx.ConnectError: the peer refused it.
-    :raises httpx.ConnectTimeout: the peer did not answer in time.
+    :raises httpx.ConnectTimeout: the connection attempt timed out.
     """
     host, port = peer
     loop = asyncio.get_running_loop()
@@ -164,17 +164,17 @@
         async with asyncio.timeout(seconds):
             _, connection = await loop.create_connection(HttpConnection, host, port)
     except TimeoutError as error:
-        raise httpx.ConnectTimeout(f"no connection within {seconds} s") from error
+        raise httpx.ConnectTimeout(f"not connected within {seconds} s") from error
     except OSError as error:
         raise httpx.ConnectError(repr(error)) from error
     return connection
 
 
 def _request_head(request: httpx.Request) -> bytes:
-    """Return the request line and headers.
+    """Return the encoded request line and headers.
 
-    :raises httpx.UnsupportedProtocol: the URL asks for encryption.
-    :raises httpx.LocalProtocolError: a header holds a line break.
+    :raises httpx.UnsupportedProtocol: the scheme of the URL is not ``http``.
+    :raises httpx.LocalProtocolError: the request line or a header contains a line break.
     """
     if request.url.scheme != "http":
         raise httpx.UnsupportedProtocol(f"unsupported scheme {request.url.scheme!r}")
--- a/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
@@ -1,4 +1,4 @@
-"""The path of a caller's request through one router."""
+"""Routing of a caller's request within one router: replay, forward or run."""
 
 from contextlib import aclosing
 
@@ -35,15 +35,18 @@
     RefusalReason.BUDGET_UNREACHABLE,
     NEVER_SENT,
     HOME_RETRY_SECONDS,
-    "this router has asked others to run the request",
+    "this router has forwarded the request to other routers itself",
     step="forward",
 )
-"""Two routers without tokens must not wait for each other's answer."""
+"""Refusal of a forwarded request that this router has forwarded, too.
+
+Without it, two routers without tokens could wait for each other's answer.
+"""
 _ACCEPTING_STATES = (RouterState.SERVING, RouterState.STOPPING)
 
 
 class Pipeline(TaskGroupController):
-    """Joins repeated requests, sends those of another home there, and runs the others."""
+    """Replays repeated requests, forwards those of another home router, and runs all others."""
 
     def __init__(
         self,
@@ -70,13 +73,13 @@
 
     @property
     def open_requests(self) -> int:
-        """Return how many requests are in progress, with or without a reader."""
+        """Return the number of requests in progress, with or without a reader."""
         return max(self._open_readers, len(self._tasks))
 
     async def submit(self, request: CallerRequest) -> AnswerStream:
-        """Return the events of a request's answer, the last one a ``Finished`` or ``Failed``.
+        """Yield the events of a request's answer, ending with ``Finished`` or ``Failed``.
 
-        Closing the iterator early means that the caller has left.
+        Closing the iterator early means that the caller has disconnected.
         """
         self._open_readers += 1
         try:
@@ -87,11 +90,11 @@
             self._open_readers -= 1
 
     async def outcome(self, workspace: WorkspaceId, request_id: RequestId) -> Outcome | None:
-        """Return what became of a request here; None when this process has never seen it."""
+        """Return the outcome of a request at this router, or None if it is not stored."""
         return self.runs.outcome(RequestKey(workspace, request_id))
 
     def _route(self, request: CallerRequest) -> AnswerStream:
-        """Choose how to answer a request."""
+        """Choose how to answer a request: replay, refuse, run or forward it."""
         key = RequestKey(request.workspace, request.request_id)
         existing = self.runs.find(key)
         if existing is not None and request.forwarded and existing.was_forwarded:
@@ -111,11 +114,11 @@
         return self._forward_home(request, ticket)
 
     def _can_replay(self, existing: RequestRun, request: CallerRequest) -> bool:
-        """Tell whether a known run answers a repeated request.
+        """Return whether a repeated request is answered from an existing run.
 
-        An idempotent request that broke off or whose text was dropped is run again; its bill
-        replaces the earlier one. A refused non-idempotent request may run once its caller comes
-        with a later ticket, which shows that it has read the refusal.
+        An idempotent request that was interrupted or whose answer was dropped is run again; its
+        bill replaces the earlier one. A refused non-idempotent request may run with a later ticket,
+        which proves that its caller has received the refusal.
         """
         if existing.outcome is None:
             return True
@@ -124,7 +127,7 @@
         return not (isinstance(existing.outcome, NotRun) and _has_later_ticket(existing, request))
 
     def _replay_existing(self, existing: RequestRun, request: CallerRequest) -> AnswerStream:
-        """Answer a repeated request from the run of the first."""
+        """Answer a repeated request from an existing run."""
         if existing.fingerprint != fingerprint(request):
             detail = "the request id was used for another request"
             return _single_event(Failed(RefusalReason.REQUEST_ID_REUSED, NEVER_SENT, detail=detail))
@@ -136,7 +139,7 @@
         return self._read_events(existing)
 
     def _ticket_refusal(self, request: CallerRequest) -> Failed | None:
-        """Refuse a non-idempotent request that names no home."""
+        """Return the refusal of a request without the ticket it needs, or with an invalid one."""
         ticket = request.ticket
         if ticket is None:
             if request.idempotent:
@@ -147,16 +150,16 @@
             detail = "the ticket was issued to another workspace"
             return Failed(RefusalReason.TICKET_INVALID, NEVER_SENT, detail=detail)
         if not request.idempotent and ticket.expires_at < self._clock.now():
-            detail = "the ticket has expired, and so has the memory of its requests"
+            detail = "the ticket has expired, and the outcomes of its requests are no longer stored"
             return Failed(RefusalReason.TICKET_INVALID, Unknown(), detail=detail)
         return None
 
     def _quarantine_refusal(self, request: CallerRequest) -> Failed | None:
-        """Refuse a request whose content has crashed engines, before tokens are set aside."""
+        """Return the refusal of quarantined content, before tokens are reserved for it."""
         return None if self._crashes is None else self._crashes.refusal(request)
 
     async def _run(self, key: RequestKey, request: CallerRequest) -> AnswerStream:
-        """Run a request here and return its answer."""
+        """Run a request on this router and yield its answer."""
         if self._blackboard.state not in _ACCEPTING_STATES or self._accounts.current is None:
             yield router_not_ready_refusal("submit")
             return
@@ -170,7 +173,7 @@
                 yield event
 
     async def _execute(self, run: RequestRun, request: CallerRequest) -> None:
-        """Run a request to its end and store what came of it."""
+        """Run a request to its end and store the finished run."""
         try:
             await self._executor.execute(run, request)
         finally:
@@ -179,20 +182,20 @@
             self.runs.finish(run)
 
     def _interrupted_failure(self) -> Failed:
-        """Return the failure of a request that ended without a last event."""
+        """Return the failure of a request that ended without a final event."""
         if self._blackboard.state is RouterState.LEFT:
-            detail = "the request was open when its router's stop reached its bound"
+            detail = "the request was still running when the router's drain deadline passed"
             return Failed(
                 RefusalReason.ROUTER_STOPPING, Unknown(), HOME_RETRY_SECONDS, detail, "stop"
             )
-        detail = "the request was ended"
+        detail = "the request was interrupted"
         return Failed(RefusalReason.INTERNAL, Unknown(), detail=detail)
 
     async def _read_events(self, run: RequestRun) -> AnswerStream:
-        """Return a run's events.
+        """Yield the events of a run.
 
-        The last reader to leave early stops an idempotent run. Another runs to its end: its caller
-        can only learn the answer from this one.
+        An idempotent run is cancelled when its last reader disconnects early. A non-idempotent run
+        continues to its end, since it is the only run from which its caller can get the answer.
         """
         run.readers += 1
         try:
@@ -207,20 +210,23 @@
     async def _answer_forwarded(
         self, key: RequestKey, request: CallerRequest, ticket: Ticket
     ) -> AnswerStream:
-        """Answer a request that a peer sent here."""
+        """Answer a request that a peer forwarded to this router.
+
+        :param ticket: ticket of the request, whose home is not the current incarnation.
+        """
         if request.idempotent:
             async with aclosing(self._run(key, request)) as events:
                 async for event in events:
                     yield event
             return
-        # The home was an earlier incarnation of this process or is none of it. Nothing new runs
-        # under it: another router may already have told the caller so.
+        # The home is an earlier incarnation of this process, or belongs to another process. The
+        # request must not run here: another router may already have answered that it did not run.
         yield await self._prove_outcome(request, ticket)
 
     async def _join_or_run(
         self, key: RequestKey, request: CallerRequest, ticket: Ticket
     ) -> AnswerStream:
-        """Join an idempotent request at the router that has it, or run it here."""
+        """Join an idempotent request at its home router if that has seen it, else run it here."""
         address = self._home_address(ticket)
         if address and await self._has_seen(address, key):
             has_output = False
@@ -239,7 +245,7 @@
                 yield event
 
     async def _has_seen(self, address: str, key: RequestKey) -> bool:
-        """Ask a peer whether it has seen a request; an unreachable one counts as no."""
+        """Return whether a peer has seen a request; false if the peer is unreachable."""
         try:
             outcome = await self._peers.ask_outcome(address, key.workspace, key.request)
         except PeerUnavailableError:
@@ -247,7 +253,10 @@
         return outcome is not None
 
     async def _forward_home(self, request: CallerRequest, ticket: Ticket) -> AnswerStream:
-        """Have the home of a non-idempotent request run it or tell its outcome."""
+        """Forward a non-idempotent request to its home router.
+
+        If the home router has stopped, yield a failure with the outcome that its journal proves.
+        """
         address = self._home_address(ticket)
         if not address:
             yield await self._prove_outcome(request, ticket)
@@ -257,21 +266,21 @@
                 async for event in events:
                     yield event
         except PeerUnavailableError as error:
-            # Even if this call did not reach the home, an earlier one of the caller may have.
+            # Even if this call did not reach the home router, an earlier one may have.
             yield home_failure(error, Unknown())
 
     async def _prove_outcome(self, request: CallerRequest, ticket: Ticket) -> Failed:
-        """Tell what became of a non-idempotent request whose home is gone."""
+        """Return the failure of a non-idempotent request whose home router has stopped."""
         key = RequestKey(request.workspace, request.request_id)
         outcome = await self._proofs.outcome(ticket, key)
         if isinstance(outcome, NotRun):
-            detail = "its home has left without running it; ask for a new address"
+            detail = "the home router stopped without running the request; get a new address"
             return Failed(RefusalReason.HOME_GONE, outcome, HOME_RETRY_SECONDS, detail)
-        detail = "its home is gone and may have run it"
+        detail = "the home router stopped and may have run the request"
         return Failed(RefusalReason.HOME_GONE, outcome, 0.0, detail)
 
     def _home_address(self, ticket: Ticket) -> str:
-        """Return the address of a ticket's home while it is another member, else nothing."""
+        """Return the address of a ticket's home router, or "" unless it is another member."""
         member = self._blackboard.members_by_incarnation.get(ticket.home)
         if member is None or member.address == self._blackboard.identity.address:
             return ""
@@ -279,12 +288,12 @@
 
 
 def _has_later_ticket(existing: RequestRun, request: CallerRequest) -> bool:
-    """Tell whether a request carries a later ticket than the run that is known."""
+    """Return whether a request has a later ticket than an existing run."""
     if existing.ticket_expires_at is None or request.ticket is None:
         return False
     return request.ticket.expires_at > existing.ticket_expires_at
 
 
 async def _single_event(event: AnswerEvent) -> AnswerStream:
-    """Return a single event."""
+    """Yield a single event."""
     yield event
--- a/packages/quinceferry-daemon/src/quinceferryd/relays.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/relays.py
@@ -1,4 +1,4 @@
-"""Relays of an answer's events to a caller, one class for each form of answer."""
+"""Relay of an answer's events to a caller, with one sink class per answer format."""
 
 from contextlib import aclosing
 from typing import Protocol
@@ -35,10 +35,10 @@
     """Writes an answer to the caller."""
 
     async def write_chunk(self, chunk: Chunk) -> None:
-        """Take a piece of the answer."""
+        """Write or collect a chunk of the answer."""
 
     async def finish(self, finished: Finished) -> None:
-        """Write the end of a whole answer."""
+        """Write the end of a complete answer."""
 
     async def fail(self, failed: Failed) -> None:
         """Write a refusal or failure."""
@@ -47,12 +47,14 @@
 async def relay_events(
     events: AnswerStream, sink: AnswerSink, meter: RequestMeter | None = None
 ) -> None:
-    """Pull events one at a time into a sink, until the generator ends.
+    """Relay events one at a time to a sink until the generator ends.
 
-    The generator runs on after its last event, so that it can settle the request.
+    The generator continues after its final event, so that it can settle the request.
 
     :param events: closed in every case, which cancels the request unless it has ended.
-    :param meter: measures the request; None for a forwarded one, which its first router measures.
+    :param sink: writes the answer to the caller.
+    :param meter: measures the request; None for a forwarded request, which the first router
+        measures.
     """
     active_meter = meter or NullMeter()
     try:
@@ -67,7 +69,7 @@
 async def _relay_all(
     events: AnswerStream, sink: AnswerSink, meter: RequestMeter | NullMeter
 ) -> Failed | None:
-    """Relay all events; return a failure when the last of them was missing."""
+    """Relay all events; return a failure if there was no final event."""
     ended = False
     try:
         async with aclosing(events):
@@ -86,7 +88,7 @@
 
 
 async def _write_final_event(event: Finished | Failed, sink: AnswerSink) -> None:
-    """Write the last event."""
+    """Write the final event."""
     match event:
         case Finished():
             await sink.finish(event)
@@ -95,20 +97,20 @@
 
 
 def _internal_failure(detail: str) -> Failed:
-    """Return a failure after which nothing is known of the request."""
+    """Return an internal failure with an unknown outcome."""
     return Failed(RefusalReason.INTERNAL, Unknown(), detail=detail)
 
 
 async def write_failure(writer: ResponseWriter, failed: Failed, request_id: str = "") -> None:
-    """Write a refusal or failure as a whole response."""
+    """Write a refusal or failure as a complete response."""
     document = error_document(failed, request_id)
     await writer.respond(error_status(failed), error_headers(failed, request_id), document)
 
 
 class StreamedAnswer:
-    """Server-sent events, one for each chunk.
+    """Writes an answer as server-sent events, one per chunk.
 
-    :param include_usage: whether the usage is sent before the end.
+    :param include_usage: whether the usage is sent before the end of the stream.
     """
 
     def __init__(
@@ -124,14 +126,14 @@
         self._include_usage = include_usage
 
     async def write_chunk(self, chunk: Chunk) -> None:
-        """Write a piece of the answer."""
+        """Write a chunk as an event."""
         piece = self._answer_format.text_event(chunk.text)
         if not self._writer.started:
             piece = await self._write_opening() + piece
         await self._writer.write(piece)
 
     async def finish(self, finished: Finished) -> None:
-        """Write the end of a whole answer."""
+        """Write the end of a complete answer."""
         usage = self._answer_format.usage_event(finished.usage) if self._include_usage else b""
         body = (
             await self._write_opening()
@@ -142,14 +144,14 @@
         await self._writer.finish(body)
 
     async def fail(self, failed: Failed) -> None:
-        """Write an error response, or an error event when pieces were already sent."""
+        """Write an error response, or an error event if the response has started."""
         if self._writer.started:
             await self._writer.finish(error_event(failed, self._request_id))
         else:
             await write_failure(self._writer, failed, self._request_id)
 
     async def _write_opening(self) -> bytes:
-        """Write the headers before the first event, and return what precedes that event."""
+        """Write the headers if the response has not started, and return the opening event."""
         if self._writer.started:
             return b""
         headers = [*_EVENT_STREAM_HEADERS, *request_id_header(self._request_id)]
@@ -158,7 +160,7 @@
 
 
 class WholeAnswer:
-    """One JSON document, written at the end."""
+    """Writes an answer as one JSON document when it is complete."""
 
     def __init__(
         self, writer: ResponseWriter, answer_format: AnswerFormat, request_id: str
@@ -169,11 +171,11 @@
         self._pieces: list[str] = []
 
     async def write_chunk(self, chunk: Chunk) -> None:
-        """Keep a piece of the answer; the request's output cap bounds them."""
+        """Collect the text of a chunk; the output cap of the request limits the total size."""
         self._pieces.append(chunk.text)
 
     async def finish(self, finished: Finished) -> None:
-        """Write the whole answer."""
+        """Write the complete answer."""
         body = self._answer_format.whole_document(
             "".join(self._pieces), finished.reason, finished.usage
         )
@@ -185,9 +187,9 @@
 
 
 class ServiceAnswer:
-    """Response of a plain service, written at the end, when its status is known.
+    """Writes the response of a plain service when it is complete and its status is known.
 
-    :param max_bytes: greatest size of the response's body.
+    :param max_bytes: maximum size of the response body.
     """
 
     def __init__(self, writer: ResponseWriter, request_id: str, max_bytes: int) -> None:
@@ -197,13 +199,13 @@
         self._pieces: list[bytes] = []
 
     async def write_chunk(self, chunk: Chunk) -> None:
-        """Keep a piece of the body; pieces over the bound are dropped."""
+        """Collect a part of the body; parts beyond the limit are dropped."""
         self._remaining_bytes -= len(chunk.data)
         if self._remaining_bytes >= 0:
             self._pieces.append(chunk.data)
 
     async def finish(self, finished: Finished) -> None:
-        """Write the whole response, or say that it was too large."""
+        """Write the complete response, or an error if its body was too large."""
         if self._remaining_bytes < 0:
             await self.fail(_too_large_failure(finished))
             return
@@ -217,7 +219,7 @@
 
 
 def _too_large_failure(finished: Finished) -> Failed:
-    """Return the failure of a service call that ran but whose response is not relayed."""
+    """Return the failure of a service call that ran but whose response is too large to relay."""
     return Failed(
         RefusalReason.UPSTREAM_FAILED,
         Run(finished.usage),
--- a/packages/quinceferry-daemon/src/quinceferryd/request_options.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/request_options.py
@@ -1,4 +1,4 @@
-"""Reads the headers that all requests of callers share."""
+"""Parsing of the request headers that all calls share."""
 
 import re
 import uuid
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestOptions:
-    """What the headers of a request say."""
+    """Options that a caller sets through request headers."""
 
     request_id: RequestId
     priority: Priority
@@ -36,10 +36,10 @@
 
 
 class OptionReader:
-    """Reads the headers that all requests share.
+    """Parses the request headers that all calls share.
 
-    :param tickets: reads tickets.
-    :param settings: bounds of the caller interface.
+    :param tickets: verifies and decodes tickets.
+    :param settings: limits and defaults of the caller API.
     """
 
     def __init__(self, tickets: Tickets, settings: CallerSettings) -> None:
@@ -53,11 +53,13 @@
         method: str,
         idempotent_by_default: bool,
     ) -> Result[RequestOptions, Failed]:
-        """Read the headers of one request.
+        """Parse and validate the headers of one request.
 
-        :param workspace: the caller's workspace; its priority is the highest a caller may ask for.
+        :param workspace: workspace of the caller, whose priority is the highest allowed.
         :param method: HTTP method.
-        :param safe: whether a request is idempotent when its header does not say.
+        :param idempotent_by_default: whether a request without the idempotency header is idempotent
+            for any method.
+        :return: the options, or the refusal of a malformed header.
         """
         caller_request_id = headers.get(REQUEST_ID_HEADER, "")
         if caller_request_id and not _REQUEST_ID_PATTERN.fullmatch(caller_request_id):
@@ -90,7 +92,7 @@
         raise AssertionError("a result is a success or a failure")
 
     def _deadline(self, headers: Mapping[str, str]) -> Result[float, Failed]:
-        """Read the deadline, in seconds from now."""
+        """Return the deadline in seconds from now, or the refusal of a malformed header."""
         text = headers.get(DEADLINE_HEADER, "")
         if not text:
             return Success(self._settings.default_deadline_seconds)
@@ -106,7 +108,7 @@
     def _ticket(
         self, headers: Mapping[str, str], workspace: WorkspaceSpec
     ) -> Result[Ticket | None, Failed]:
-        """Read the ticket, if there is one."""
+        """Return the ticket, None without the header, or the refusal of an invalid one."""
         text = headers.get(TICKET_HEADER, "")
         if not text:
             return Success(None)
@@ -116,9 +118,9 @@
             case Failure(detail):
                 return Failure(refusal(RefusalReason.TICKET_INVALID, detail))
             case _:
-                return Failure(refusal(RefusalReason.TICKET_INVALID, "ticket of other workspace"))
+                return Failure(refusal(RefusalReason.TICKET_INVALID, "ticket of another workspace"))
 
 
 def malformed_refusal(detail: str) -> Failure[Failed]:
-    """Return the refusal of a request that is not well formed."""
+    """Return the refusal of a malformed request."""
     return Failure(refusal(RefusalReason.MALFORMED, detail))
--- a/packages/quinceferry-daemon/src/quinceferryd/responses.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/responses.py
@@ -1,8 +1,8 @@
-"""ASGI responses that relay an answer while it is produced.
+"""ASGI responses that relay an answer while it is generated.
 
-The relay pulls one event at a time and writes it before it pulls the next, so a slow reader slows
-the upstream and nothing piles up here. When the reader disconnects, the relay is cancelled, which
-closes the iterator of events.
+The relay reads one event at a time and writes it before it reads the next, so a slow reader applies
+backpressure to the upstream and nothing accumulates here. When the reader disconnects, the relay is
+cancelled, which closes the iterator of events.
 """
 
 import asyncio
@@ -12,14 +12,14 @@
 from litestar.types import Message, Receive, Scope, Send
 
 Header = tuple[bytes, bytes]
-"""Name in lower case, and value."""
+"""Header name in lower case, and its value."""
 
 
 class ResponseWriter:
     """Writes one HTTP response.
 
     :param send: ASGI send function.
-    :param headers: headers of every response.
+    :param headers: headers added to every response.
     """
 
     __slots__ = ("_headers", "_loop", "_send", "finished", "started", "waiting_since")
@@ -31,7 +31,7 @@
         self.started = False
         self.finished = False
         self.waiting_since: float | None = None
-        """Since when a write waits for the reader, in the loop's time; None when none does."""
+        """Loop time at which the pending write began; None if no write is pending."""
 
     async def start(self, status: int, headers: list[Header]) -> None:
         """Write the status line and headers."""
@@ -40,22 +40,22 @@
         await self._write({"type": "http.response.start", "status": status, "headers": headers})
 
     async def write(self, body: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a part of the body."""
         await self._write({"type": "http.response.body", "body": body, "more_body": True})
 
     async def finish(self, body: bytes = b"") -> None:
-        """Write the last piece of the body."""
+        """Write the last part of the body."""
         self.finished = True
         await self._write({"type": "http.response.body", "body": body, "more_body": False})
 
     async def respond(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Write a whole response."""
+        """Write a complete response."""
         length = (b"content-length", str(len(body)).encode())
         await self.start(status, [*headers, length])
         await self.finish(body)
 
     async def _write(self, message: Message) -> None:
-        """Send one message."""
+        """Send one ASGI message and track how long the write is pending."""
         self.waiting_since = self._loop.time()
         await self._send(message)
         self.waiting_since = None
@@ -69,8 +69,8 @@
     """ASGI response written by a coroutine.
 
     :param relay: writes the response.
-    :param write_timeout_seconds: how long one write may wait for the reader.
-    :param headers: headers of every response.
+    :param write_timeout_seconds: time limit for one write to a slow reader.
+    :param headers: headers added to every response.
     """
 
     __slots__ = ("_headers", "_relay", "_write_timeout_seconds")
@@ -99,8 +99,10 @@
 
 
 class _StallDetector:
-    """Cancels a relay whose reader has stalled; checking now and then costs less than a timer for
-    each write."""
+    """Cancels a relay whose reader has stalled.
+
+    Checking periodically costs less than a timer for each write.
+    """
 
     __slots__ = ("_loop", "_relay", "_timeout_seconds", "_timer", "_writer", "stalled")
 
@@ -115,11 +117,11 @@
         self._timer = self._loop.call_later(timeout_seconds, self._check)
 
     def close(self) -> None:
-        """Check no more."""
+        """Stop checking."""
         self._timer.cancel()
 
     def _check(self) -> None:
-        """Cancel the relay if its write has waited too long, else check again when it could."""
+        """Cancel the relay if its write timed out, else schedule the next check."""
         waiting_since = self._writer.waiting_since
         waited = 0.0 if waiting_since is None else self._loop.time() - waiting_since
         if waited >= self._timeout_seconds:
@@ -132,7 +134,7 @@
 async def _cancel_on_disconnect(
     receive: Callable[[], Awaitable[Any]], writer: ResponseWriter, relay: asyncio.Task[None]
 ) -> None:
-    """Wait until the reader disconnects, and cancel the relay if it still has bytes to write."""
+    """Cancel the relay when the reader disconnects, unless the response is finished."""
     message = await receive()
     while message["type"] != "http.disconnect":
         message = await receive()
--- a/packages/quinceferry-daemon/src/quinceferryd/runs.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/runs.py
@@ -1,4 +1,4 @@
-"""Requests that this process runs or has run, with their answers.
+"""Requests that this process is running or has run, with their answers.
 
 A repeated request id joins the run in progress or receives the stored answer again.
 """
@@ -23,18 +23,18 @@
 )
 
 ANSWER_RETENTION_SECONDS = 300.0
-"""How long a finished answer is replayed."""
+"""How long a finished answer is stored for replay."""
 MAX_STORED_BYTES = 8 * 1024 * 1024
-"""Text of finished answers kept in all; the oldest are dropped first."""
+"""Maximum total size of stored answers; the oldest are dropped first."""
 OUTCOME_RETENTION_SECONDS = 7200.0
-"""How long an outcome is known after its answer was dropped; longer than a ticket lives."""
+"""How long an outcome is stored after the request has ended; longer than a ticket is valid."""
 
 
 @dataclass(slots=True, eq=False)
 class RequestRun:
     """One request with the events of its answer so far.
 
-    ``was_forwarded`` says that another router was asked to run it.
+    ``was_forwarded`` is whether the request was sent to another router.
     """
 
     key: RequestKey
@@ -52,7 +52,7 @@
     _updated: asyncio.Event | None = None
 
     def publish(self, event: AnswerEvent) -> None:
-        """Add an event and wake all readers; the last event sets the outcome."""
+        """Add an event and wake all readers; the final event sets the outcome."""
         if self.outcome is not None:
             return
         self.events.append(event)
@@ -68,12 +68,12 @@
             self._updated = None
 
     async def replay(self) -> AnswerStream:
-        """Return all events from the first on, waiting for new ones.
+        """Yield all events from the first one, waiting for new ones.
 
-        A slow reader holds up nobody: its position moves through the stored events, whose number
-        the request's output cap bounds.
+        A slow reader blocks no other: each has its own position in the stored events, whose number
+        is bounded by the output cap of the request.
         """
-        # The store may replace the list once the run has ended; this reader goes on with its own.
+        # The store may replace the list after the run has ended; this reader keeps the old list.
         events = self.events
         position = 0
         while True:
@@ -87,18 +87,18 @@
             await self._updated.wait()
 
     def compact(self) -> None:
-        """Hold the answer of an ended run in few events and drop what only a running one needs."""
+        """Merge the chunks of a finished answer and release the task."""
         self.events = _merge_chunks(self.events)
         self.task = None
 
     def drop_answer(self) -> None:
-        """Keep only the end of the answer."""
+        """Remove the chunks of the answer and keep only its final event."""
         self.events = [event for event in self.events if not isinstance(event, Chunk)]
         self.answer_dropped = True
 
 
 class RunStore:
-    """Runs of this process by request key, bounded in time and size."""
+    """Runs of this process by request key, limited by age and total size."""
 
     def __init__(self, clock: Clock, max_stored_bytes: int = MAX_STORED_BYTES) -> None:
         self._clock = clock
@@ -109,11 +109,11 @@
         self._stored_bytes = 0
 
     def __len__(self) -> int:
-        """Return how many runs are known."""
+        """Return the number of stored runs."""
         return len(self._runs_by_key)
 
     def find(self, key: RequestKey) -> RequestRun | None:
-        """Return the run of a request, if it is known."""
+        """Return the run of a request, or None if it is not stored."""
         self._expire()
         return self._runs_by_key.get(key)
 
@@ -124,7 +124,7 @@
         idempotent: bool = True,
         ticket_expires_at: datetime | None = None,
     ) -> RequestRun:
-        """Start a run; a known run of the same key is replaced."""
+        """Start a run, replacing any stored run with the same key."""
         self._remove(key)
         run = RequestRun(key, fingerprint, idempotent, ticket_expires_at)
         self._runs_by_key[key] = run
@@ -133,8 +133,9 @@
     def finish(self, run: RequestRun) -> None:
         """Store a finished run.
 
-        An idempotent one that did not run is forgotten, so that it may be retried. Of another the
-        refusal is kept: a copy of it that arrives late must not run after its caller was told.
+        An idempotent request that did not run is removed, so that it can be retried. The refusal of
+        a non-idempotent request is kept: a delayed duplicate must not run after its caller has
+        received the refusal.
         """
         if self._runs_by_key.get(run.key) is not run:
             return
@@ -148,14 +149,14 @@
         self._expire()
 
     def outcome(self, key: RequestKey) -> Outcome | None:
-        """Return what became of a request; ``Unknown`` while it runs, None if never seen."""
+        """Return the outcome of a request; ``Unknown`` while it runs, None if it is not stored."""
         run = self.find(key)
         if run is None:
             return None
         return run.outcome if run.outcome is not None else Unknown()
 
     def _expire(self) -> None:
-        """Drop texts and outcomes that are too old or too many."""
+        """Drop answers and outcomes that are too old, and answers beyond the size limit."""
         now = self._clock.monotonic()
         while self._replayable_by_key:
             key, run = next(iter(self._replayable_by_key.items()))
@@ -175,7 +176,7 @@
                 del self._runs_by_key[run.key]
 
     def _remove(self, key: RequestKey) -> None:
-        """Drop all that is known of a request."""
+        """Remove a run and release its stored bytes."""
         run = self._runs_by_key.pop(key, None)
         if run is None:
             return
@@ -184,8 +185,10 @@
 
 
 def _merge_chunks(events: list[AnswerEvent]) -> list[AnswerEvent]:
-    """Return the same answer with contiguous pieces joined; a piece of each token costs far more
-    memory than its text."""
+    """Return the same answer with contiguous chunks merged.
+
+    One chunk per token takes far more memory than its text.
+    """
     merged: list[AnswerEvent] = []
     pieces: list[Chunk] = []
     for event in events:
@@ -201,7 +204,7 @@
 
 
 def _merge(pieces: list[Chunk]) -> Chunk:
-    """Return contiguous pieces as one."""
+    """Merge contiguous chunks into one."""
     tokens = sum(piece.tokens for piece in pieces)
     text = "".join([piece.text for piece in pieces])
     return Chunk(pieces[0].offset, tokens, text, b"".join([piece.data for piece in pieces]))
