--- a/features/steps/engine_crashes.py
+++ b/features/steps/engine_crashes.py
@@ -88,7 +88,7 @@
     runs = len(context.site.runs())
 
     async def work():
-        context.second.streams.crashes.apply_member_quarantines()
+        context.second.streams.crash_watch.apply_member_quarantines()
         return await context.second.answer(request("again", prompt=prompt))
 
     answer = run_started(context.second, work)
--- a/packages/quinceferry-daemon/src/quinceferryd/admission.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/admission.py
@@ -267,6 +267,6 @@
     :param wait_seconds: estimated time until a retry can succeed.
     :param detail: description for the caller.
     """
-    retry_after = max(1.0, min(wait_seconds, MAX_RETRY_AFTER_SECONDS))
+    retry_after_seconds = max(1.0, min(wait_seconds, MAX_RETRY_AFTER_SECONDS))
     proof = NotRun(NotRunProof.NEVER_SENT)
-    return Failed(reason, proof, retry_after, detail, step="scheduling.enter")
+    return Failed(reason, proof, retry_after_seconds, detail, step="scheduling.enter")
--- a/packages/quinceferry-daemon/src/quinceferryd/application.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/application.py
@@ -177,7 +177,7 @@
             self.clock,
             self._rng,
             settings.streams,
-            crashes=self.crashes,
+            crash_watch=self.crashes,
         )
         shortages = ShortageHandler(self.blackboard, self.peers, self.clock, settings.budgets)
         self.copy_sender = CopySender(self.blackboard, self.peers, self.membership, self.clock)
--- a/packages/quinceferry-daemon/src/quinceferryd/attempts.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/attempts.py
@@ -96,7 +96,9 @@
         scheduler = self._context.scheduler
         excluded: frozenset[UpstreamId] = frozenset()
         while True:
-            quarantine_failure = await self._context.crashes.refusal_after_settling(self._request)
+            quarantine_failure = await self._context.crash_watch.refusal_after_settling(
+                self._request
+            )
             if quarantine_failure is not None:
                 return self._with_combined_outcome(quarantine_failure)
             chosen = await self._choose(excluded)
@@ -117,7 +119,7 @@
             finally:
                 scheduler.record_ended(self._request, upstream.id)
             if isinstance(ending, Finished):
-                self._context.crashes.record_completion(self._request)
+                self._context.crash_watch.record_completion(self._request)
                 return ending
             excluded |= {upstream.id}
             failed = self._retry_refusal(upstream, attempt, ending)
@@ -166,7 +168,7 @@
                 ending = await self._connect(run, attempt, is_resume=True)
             if connection_lost and ending is ConnectionEnding.UNREACHABLE:
                 # After a lost connection nothing listens on the port: the engine has crashed.
-                self._context.crashes.record_crash(
+                self._context.crash_watch.record_crash(
                     self._request, upstream.id, run.reassembler.next_offset > 0
                 )
         finally:
@@ -248,7 +250,7 @@
             return "a non-idempotent request is not retried"
         if self._delivered.is_incomparable:
             return "too much text was delivered to continue from another run"
-        if not self._context.crashes.may_retry(self._request):
+        if not self._context.crash_watch.may_retry(self._request):
             return "the same content has crashed engines"
         if len(self._result.attempts) >= self._context.settings.max_attempts:
             return "too many attempts"
--- a/packages/quinceferry-daemon/src/quinceferryd/caller_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/caller_api.py
@@ -52,8 +52,8 @@
 
 _NOT_READY_RETRY_SECONDS = 1.0
 _SERVICE_PATH_PARTS = 3
-_CLOSE: tuple[Header, ...] = ((b"connection", b"close"),)
-_NO_STORE: Header = (b"cache-control", b"no-store")
+_CLOSE_HEADERS: tuple[Header, ...] = ((b"connection", b"close"),)
+_NO_STORE_HEADER: Header = (b"cache-control", b"no-store")
 
 
 class CallerApi:
@@ -151,8 +151,8 @@
 
         The body is released here if the handler fails; otherwise the response releases it.
         """
-        bounds = (self._settings.max_body_bytes, self._settings.body_timeout_seconds)
-        match await read_body(request, *bounds, self._bodies):
+        limits = (self._settings.max_body_bytes, self._settings.body_timeout_seconds)
+        match await read_body(request, *limits, self._bodies):
             case Success(body):
                 reply = handle_body(body)
             case failure:
@@ -238,7 +238,9 @@
     def _json_response(self, document: object) -> ASGIApp:
         """Return a JSON response."""
         body = msgspec.json.encode(document)
-        return self._respond(lambda writer: writer.respond(200, [JSON_HEADER, _NO_STORE], body))
+        return self._respond(
+            lambda writer: writer.respond(200, [JSON_HEADER, _NO_STORE_HEADER], body)
+        )
 
     def _error_response(self, workspace: WorkspaceId | None, failed: Failed) -> ASGIApp:
         """Return the error response to a request that was not submitted to the pipeline."""
@@ -248,7 +250,7 @@
     def _respond(self, relay: Relay) -> ASGIApp:
         """Return a response; unless the router is serving, it asks callers to close connections."""
         stopping = self._application.blackboard.state is not RouterState.SERVING
-        return RelayResponse(relay, self._write_timeout_seconds, _CLOSE if stopping else ())
+        return RelayResponse(relay, self._write_timeout_seconds, _CLOSE_HEADERS if stopping else ())
 
 
 def _not_ready_refusal(detail: str) -> Failed:
--- a/packages/quinceferry-daemon/src/quinceferryd/choices.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/choices.py
@@ -102,7 +102,7 @@
             with_free_slots = [
                 spec
                 for spec in with_free_slots
-                if self._has_or_should_have_prefix(spec, hashes, available_preferred)
+                if self._caches_or_should_cache(spec, hashes, available_preferred)
             ]
         return self._select_cheapest(request, hashes, preferred, with_free_slots)
 
@@ -143,7 +143,7 @@
             return []
         return [spec for spec in specs if self._tracker.has_cached_prefix(spec.id, hashes)]
 
-    def _has_or_should_have_prefix(
+    def _caches_or_should_cache(
         self, spec: UpstreamSpec, hashes: tuple[int, ...], preferred: list[UpstreamId]
     ) -> bool:
         """Return whether an upstream is estimated to cache the prefix, or is preferred for it."""
@@ -165,7 +165,7 @@
         )
         urgent = request.priority is Priority.HIGH
         cheapest = min(
-            sampled, key=lambda each: self._costs.cost_seconds(each, tokens, urgent=urgent)
+            sampled, key=lambda candidate: self._costs.cost_seconds(candidate, tokens, urgent=urgent)
         )
         return next(spec for spec in specs if spec.id == cheapest.upstream)
 
@@ -188,8 +188,8 @@
         if not hashes or not eligible or self._tracker.is_long(request):
             return []
         for_long_work = self._tracker.long_work_upstreams(eligible)
-        others = [spec.id for spec in eligible if spec.id not in for_long_work]
-        ranked = rendezvous_order(str(hashes[0]), others or [spec.id for spec in eligible])
+        other_ids = [spec.id for spec in eligible if spec.id not in for_long_work]
+        ranked = rendezvous_order(str(hashes[0]), other_ids or [spec.id for spec in eligible])
         return ranked[:PREFERRED_UPSTREAMS_PER_PREFIX]
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/connections.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/connections.py
@@ -105,8 +105,8 @@
     def accept(self, chunk: Chunk) -> list[Chunk]:
         """Return the chunks that can be delivered to the caller after one has arrived."""
         ready_chunks = self.reassembler.accept(chunk)
-        new_chunks = [self.replay_filter.accept(piece) for piece in ready_chunks]
-        return [piece for piece in new_chunks if piece is not None]
+        new_chunks = [self.replay_filter.accept(new_chunk) for new_chunk in ready_chunks]
+        return [new_chunk for new_chunk in new_chunks if new_chunk is not None]
 
     def check_complete(self, finished: Finished) -> Finished | ConnectionEnding:
         """Check that an answer is complete.
@@ -215,10 +215,10 @@
         if run.reassembler.next_offset > offset_before:
             run.connections_without_progress = 0
             self._scheduler.record_first_token(run.request, run.upstream.id)
-        for piece in new_chunks:
-            run.delivered.add(piece)
+        for new_chunk in new_chunks:
+            run.delivered.add(new_chunk)
             try:
-                await self._buffer.put(piece, self._settings.reader_timeout_seconds)
+                await self._buffer.put(new_chunk, self._settings.reader_timeout_seconds)
             except TimeoutError:
                 return ConnectionEnding.READER_STALLED
         return ConnectionEnding.INCOMPLETE if run.reassembler.is_full() else None
--- a/packages/quinceferry-daemon/src/quinceferryd/event_streams.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/event_streams.py
@@ -47,34 +47,38 @@
         if len(self._partial_line) > MAX_LINE_BYTES:
             raise MalformedStreamError("line too long")
         events: list[AnswerEvent] = []
-        pieces: list[StreamChunk] = []
+        message_chunks: list[StreamChunk] = []
         for line in lines:
             if not line.startswith(DATA_PREFIX):
                 continue
             message = line[_PREFIX_LENGTH:].strip()
             if message == DONE:
-                _flush_chunk(pieces, events)
+                _flush_chunk(message_chunks, events)
                 events.append(self._finished())
                 return events
-            piece = self._decode_message(message)
-            if piece.tokens:
-                if pieces and pieces[-1].offset + pieces[-1].tokens != piece.offset:
-                    _flush_chunk(pieces, events)
-                pieces.append(piece)
-        _flush_chunk(pieces, events)
+            message_chunk = self._decode_message(message)
+            if message_chunk.tokens:
+                if (
+                    message_chunks
+                    and message_chunks[-1].offset + message_chunks[-1].tokens
+                    != message_chunk.offset
+                ):
+                    _flush_chunk(message_chunks, events)
+                message_chunks.append(message_chunk)
+        _flush_chunk(message_chunks, events)
         return events
 
     def _decode_message(self, message: bytes) -> StreamChunk:
         """Decode one message and store its usage and finish reason, if it has them."""
         try:
-            piece = _decode(message)
+            message_chunk = _decode(message)
         except msgspec.MsgspecError as error:
             raise MalformedStreamError(str(error)) from error
-        if piece.usage is not None:
-            self._usage = piece.usage
-        if piece.choices and piece.choices[0].finish_reason is not None:
-            self._finish_reason = piece.choices[0].finish_reason
-        return piece
+        if message_chunk.usage is not None:
+            self._usage = message_chunk.usage
+        if message_chunk.choices and message_chunk.choices[0].finish_reason is not None:
+            self._finish_reason = message_chunk.choices[0].finish_reason
+        return message_chunk
 
     def _finished(self) -> Finished:
         """Return the end of the answer.
@@ -87,15 +91,21 @@
         return Finished(usage, self._finish_reason)
 
 
-def _flush_chunk(pieces: list[StreamChunk], events: list[AnswerEvent]) -> None:
+def _flush_chunk(message_chunks: list[StreamChunk], events: list[AnswerEvent]) -> None:
     """Append contiguous messages as one chunk and clear the list of messages."""
-    if not pieces:
+    if not message_chunks:
         return
-    text = "".join([_choice_text(piece.choices[0]) for piece in pieces if piece.choices])
-    last = pieces[-1]
-    offset = pieces[0].offset
+    text = "".join(
+        [
+            _choice_text(message_chunk.choices[0])
+            for message_chunk in message_chunks
+            if message_chunk.choices
+        ]
+    )
+    last = message_chunks[-1]
+    offset = message_chunks[0].offset
     events.append(Chunk(offset, last.offset + last.tokens - offset, text))
-    pieces.clear()
+    message_chunks.clear()
 
 
 def _choice_text(choice: StreamChoice) -> str:
--- a/packages/quinceferry-daemon/src/quinceferryd/http_connections.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/http_connections.py
@@ -27,8 +27,8 @@
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpResponseParser | None = None
         self._has_no_body = False
-        self._head_complete = False
-        self._complete = True
+        self._is_head_complete = False
+        self._is_complete = True
         self._ends_at_close = False
         self._keeps_alive = True
         self._error: Exception | None = None
@@ -37,9 +37,9 @@
         self._waiter: asyncio.Future[None] | None = None
 
     @property
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether the connection can carry another exchange."""
-        return self._complete and self._keeps_alive and self._error is None
+        return self._is_complete and self._keeps_alive and self._error is None
 
     def send(self, head: bytes, body: bytes, has_no_body: bool) -> None:
         """Start an exchange.
@@ -53,8 +53,8 @@
         self.headers = []
         self._parser = httptools.HttpResponseParser(self)
         self._has_no_body = has_no_body
-        self._head_complete = False
-        self._complete = False
+        self._is_head_complete = False
+        self._is_complete = False
         self._transport.write(head + body)
 
     async def read_head(self) -> None:
@@ -62,7 +62,7 @@
 
         :raises httpx.TransportError: the connection was interrupted or the response is malformed.
         """
-        while not self._head_complete:
+        while not self._is_head_complete:
             await self._wait()
 
     async def read_body(self) -> bytes:
@@ -71,7 +71,7 @@
         :raises httpx.TransportError: the connection was interrupted or the response is malformed.
         """
         while not self._body_parts:
-            if self._complete:
+            if self._is_complete:
                 return b""
             await self._wait()
         data = self._body_parts[0] if len(self._body_parts) == 1 else b"".join(self._body_parts)
@@ -97,7 +97,7 @@
 
     def buffer_updated(self, size: int) -> None:
         """Parse the bytes read; bytes outside an exchange are a protocol error."""
-        if self._complete:
+        if self._is_complete:
             self._break_connection(httpx.RemoteProtocolError("bytes outside an exchange"))
             return
         try:
@@ -113,8 +113,8 @@
 
         It completes a response without a length; any other open response is incomplete.
         """
-        if self._ends_at_close and self._head_complete and error is None:
-            self._complete = True
+        if self._ends_at_close and self._is_head_complete and error is None:
+            self._is_complete = True
         if self._error is None:
             self._error = httpx.ReadError(repr(error) if error else "connection closed")
         self._notify_reader()
@@ -129,11 +129,11 @@
         if self.status < _FIRST_FINAL_STATUS:
             self.headers.clear()
             return
-        self._head_complete = True
+        self._is_head_complete = True
         self._keeps_alive = self._parser.should_keep_alive() and not self._has_no_body
         names = {name for name, _ in self.headers}
         self._ends_at_close = not names & {b"content-length", b"transfer-encoding"}
-        self._complete = self._has_no_body
+        self._is_complete = self._has_no_body
 
     def on_body(self, data: bytes) -> None:
         """Buffer body bytes; called by the parser."""
@@ -142,8 +142,8 @@
 
     def on_message_complete(self) -> None:
         """Mark the response as complete; called by the parser."""
-        if self._head_complete:
-            self._complete = True
+        if self._is_head_complete:
+            self._is_complete = True
 
     async def _wait(self) -> None:
         """Wait for new data, or raise the error of the connection."""
--- a/packages/quinceferry-daemon/src/quinceferryd/http_transport.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/http_transport.py
@@ -68,7 +68,7 @@
     def release(self, peer: _Peer, connection: HttpConnection) -> None:
         """Keep a connection for another exchange, or close it."""
         idle = self._idle_by_peer[peer]
-        if not connection.reusable or len(idle) >= self._max_idle_connections:
+        if not connection.is_reusable or len(idle) >= self._max_idle_connections:
             connection.abort()
             return
         now = asyncio.get_running_loop().time()
@@ -82,7 +82,9 @@
         self._last_sweep_at = now
         for peer, connections in list(self._idle_by_peer.items()):
             unexpired = [
-                each for each in connections if each.idle_since >= now - self._idle_seconds
+                connection
+                for connection in connections
+                if connection.idle_since >= now - self._idle_seconds
             ]
             for connection in connections:
                 if connection not in unexpired:
@@ -98,7 +100,7 @@
         min_idle_since = asyncio.get_running_loop().time() - self._idle_seconds
         while idle:
             connection = idle.pop()
-            if connection.reusable and connection.idle_since >= min_idle_since:
+            if connection.is_reusable and connection.idle_since >= min_idle_since:
                 return connection
             connection.abort()
         return None
--- a/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
@@ -56,12 +56,12 @@
         proofs: JournalProofs,
         peers: PeerClient,
         clock: Clock,
-        demand: DemandMeter | None = None,
-        crashes: CrashWatch | None = None,
+        demand_meter: DemandMeter | None = None,
+        crash_watch: CrashWatch | None = None,
     ) -> None:
         super().__init__()
-        self._crashes = crashes
-        self._demand = demand
+        self._crash_watch = crash_watch
+        self._demand_meter = demand_meter
         self.runs = RunStore(clock)
         self._open_readers = 0
         self._blackboard = blackboard
@@ -156,15 +156,15 @@
 
     def _quarantine_refusal(self, request: CallerRequest) -> Failed | None:
         """Return the refusal of quarantined content, before tokens are reserved for it."""
-        return None if self._crashes is None else self._crashes.refusal(request)
+        return None if self._crash_watch is None else self._crash_watch.refusal(request)
 
     async def _run(self, key: RequestKey, request: CallerRequest) -> AnswerStream:
         """Run a request on this router and yield its answer."""
         if self._blackboard.state not in _ACCEPTING_STATES or self._accounts.current is None:
             yield router_not_ready_refusal("submit")
             return
-        if self._demand is not None and request.kind is not RequestKind.SERVICE:
-            self._demand.record_request(request.target)
+        if self._demand_meter is not None and request.kind is not RequestKind.SERVICE:
+            self._demand_meter.record_request(request.target)
         expires_at = request.ticket.expires_at if request.ticket else None
         run = self.runs.begin(key, fingerprint(request), request.idempotent, expires_at)
         run.task = self.spawn(self._execute(run, request), f"request {key.request}")
--- a/packages/quinceferry-daemon/src/quinceferryd/relays.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/relays.py
@@ -127,10 +127,10 @@
 
     async def write_chunk(self, chunk: Chunk) -> None:
         """Write a chunk as an event."""
-        piece = self._answer_format.text_event(chunk.text)
+        event_data = self._answer_format.text_event(chunk.text)
         if not self._writer.started:
-            piece = await self._write_opening() + piece
-        await self._writer.write(piece)
+            event_data = await self._write_opening() + event_data
+        await self._writer.write(event_data)
 
     async def finish(self, finished: Finished) -> None:
         """Write the end of a complete answer."""
@@ -168,16 +168,16 @@
         self._writer = writer
         self._answer_format = answer_format
         self._request_id = request_id
-        self._pieces: list[str] = []
+        self._parts: list[str] = []
 
     async def write_chunk(self, chunk: Chunk) -> None:
         """Collect the text of a chunk; the output cap of the request limits the total size."""
-        self._pieces.append(chunk.text)
+        self._parts.append(chunk.text)
 
     async def finish(self, finished: Finished) -> None:
         """Write the complete answer."""
         body = self._answer_format.whole_document(
-            "".join(self._pieces), finished.reason, finished.usage
+            "".join(self._parts), finished.reason, finished.usage
         )
         await self._writer.respond(200, [JSON_HEADER, *request_id_header(self._request_id)], body)
 
@@ -196,13 +196,13 @@
         self._writer = writer
         self._request_id = request_id
         self._remaining_bytes = max_bytes
-        self._pieces: list[bytes] = []
+        self._parts: list[bytes] = []
 
     async def write_chunk(self, chunk: Chunk) -> None:
         """Collect a part of the body; parts beyond the limit are dropped."""
         self._remaining_bytes -= len(chunk.data)
         if self._remaining_bytes >= 0:
-            self._pieces.append(chunk.data)
+            self._parts.append(chunk.data)
 
     async def finish(self, finished: Finished) -> None:
         """Write the complete response, or an error if its body was too large."""
@@ -211,7 +211,7 @@
             return
         content_type = (finished.content_type or _DEFAULT_CONTENT_TYPE).encode()
         headers = [(b"content-type", content_type), *request_id_header(self._request_id)]
-        await self._writer.respond(finished.status, headers, b"".join(self._pieces))
+        await self._writer.respond(finished.status, headers, b"".join(self._parts))
 
     async def fail(self, failed: Failed) -> None:
         """Write an error response."""
--- a/packages/quinceferry-daemon/src/quinceferryd/responses.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/responses.py
@@ -123,12 +123,12 @@
     def _check(self) -> None:
         """Cancel the relay if its write timed out, else schedule the next check."""
         waiting_since = self._writer.waiting_since
-        waited = 0.0 if waiting_since is None else self._loop.time() - waiting_since
-        if waited >= self._timeout_seconds:
+        waited_seconds = 0.0 if waiting_since is None else self._loop.time() - waiting_since
+        if waited_seconds >= self._timeout_seconds:
             self.stalled = True
             self._relay.cancel()
             return
-        self._timer = self._loop.call_later(self._timeout_seconds - waited, self._check)
+        self._timer = self._loop.call_later(self._timeout_seconds - waited_seconds, self._check)
 
 
 async def _cancel_on_disconnect(
--- a/packages/quinceferry-daemon/src/quinceferryd/runs.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/runs.py
@@ -190,21 +190,21 @@
     One chunk per token takes far more memory than its text.
     """
     merged: list[AnswerEvent] = []
-    pieces: list[Chunk] = []
+    chunks: list[Chunk] = []
     for event in events:
-        is_piece = isinstance(event, Chunk)
-        if pieces and not (is_piece and event.offset == pieces[-1].offset + pieces[-1].tokens):
-            merged.append(_merge(pieces))
-            pieces = []
-        if is_piece:
-            pieces.append(event)
+        is_chunk = isinstance(event, Chunk)
+        if chunks and not (is_chunk and event.offset == chunks[-1].offset + chunks[-1].tokens):
+            merged.append(_merge(chunks))
+            chunks = []
+        if is_chunk:
+            chunks.append(event)
         else:
             merged.append(event)
-    return merged + [_merge(pieces)] if pieces else merged
+    return merged + [_merge(chunks)] if chunks else merged
 
 
-def _merge(pieces: list[Chunk]) -> Chunk:
+def _merge(chunks: list[Chunk]) -> Chunk:
     """Merge contiguous chunks into one."""
-    tokens = sum(piece.tokens for piece in pieces)
-    text = "".join([piece.text for piece in pieces])
-    return Chunk(pieces[0].offset, tokens, text, b"".join([piece.data for piece in pieces]))
+    tokens = sum(chunk.tokens for chunk in chunks)
+    text = "".join([chunk.text for chunk in chunks])
+    return Chunk(chunks[0].offset, tokens, text, b"".join([chunk.data for chunk in chunks]))
--- a/packages/quinceferry-daemon/src/quinceferryd/stream_contexts.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/stream_contexts.py
@@ -39,7 +39,7 @@
     settings: StreamSettings
     identity: Callable[[], Identity]
     retry_budget: RetryBudget
-    crashes: CrashWatch
+    crash_watch: CrashWatch
     counters: StreamCounters = field(default_factory=StreamCounters)
     connection_numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
     """Connection numbers, unique in this process, so that no two runs have the same number."""
--- a/packages/quinceferry-daemon/src/quinceferryd/streams.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/streams.py
@@ -26,7 +26,7 @@
     :param scheduler: chooses upstreams and tracks their load.
     :param rng: random generator for the backoff jitter.
     :param identity: returns this router's incarnation and fencing number.
-    :param crashes: decides which content is quarantined.
+    :param crash_watch: decides which content is quarantined.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         rng: random.Random,
         settings: StreamSettings,
         identity: Callable[[], Identity] | None = None,
-        crashes: CrashWatch | None = None,
+        crash_watch: CrashWatch | None = None,
     ) -> None:
         self._context = StreamContext(
             upstreams,
@@ -48,13 +48,13 @@
             settings,
             identity or (lambda: blackboard.identity),
             RetryBudget(settings.retry_share),
-            crashes or CrashWatch(blackboard, clock),
+            crash_watch or CrashWatch(blackboard, clock),
         )
 
     @property
-    def crashes(self) -> CrashWatch:
+    def crash_watch(self) -> CrashWatch:
         """Return the watch that decides which content is quarantined."""
-        return self._context.crashes
+        return self._context.crash_watch
 
     @property
     def counters(self) -> StreamCounters:
--- a/packages/quinceferry-daemon/src/quinceferryd/target_queues.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/target_queues.py
@@ -52,9 +52,9 @@
         window, one admission per window is assumed.
         """
         self._drop_expired_admissions(now)
-        ahead = self.fair_queue.count_up_to_class(priority)
+        requests_ahead = self.fair_queue.count_up_to_class(priority)
         nonempty_seconds = now - self._nonempty_since if self._nonempty_since is not None else 0.0
-        if not ahead or nonempty_seconds < MIN_NONEMPTY_SECONDS * self.wait_factor:
+        if not requests_ahead or nonempty_seconds < MIN_NONEMPTY_SECONDS * self.wait_factor:
             return 0.0
         window_seconds = min(nonempty_seconds, RATE_WINDOW_SECONDS * self.wait_factor)
         recent_priorities = [
@@ -63,7 +63,7 @@
             if now - admitted_at <= window_seconds
         ]
         return max(
-            _drain_seconds(ahead, len(recent_priorities), window_seconds),
+            _drain_seconds(requests_ahead, len(recent_priorities), window_seconds),
             _drain_seconds(
                 self.fair_queue.count_in_class(priority),
                 recent_priorities.count(priority),
@@ -77,5 +77,5 @@
             self._recent_admissions.popleft()
 
 
-def _drain_seconds(ahead: int, admissions: int, window_seconds: float) -> float:
-    return ahead * window_seconds / max(1, admissions)
+def _drain_seconds(requests_ahead: int, admissions: int, window_seconds: float) -> float:
+    return requests_ahead * window_seconds / max(1, admissions)
--- a/packages/quinceferry-daemon/src/quinceferryd/tracking.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/tracking.py
@@ -45,7 +45,7 @@
 
     backlog: PrefillBacklog
     ledger: InFlightTracker = field(default_factory=InFlightTracker)
-    prefixes: PrefixIndex = field(default_factory=PrefixIndex)
+    prefix_index: PrefixIndex = field(default_factory=PrefixIndex)
     growth_per_second: float = 0.0
     others_load: int = 0
     corrected_load: CorrectedLoad | None = None
@@ -94,9 +94,9 @@
         """
         load = self.load(upstream)
         history = self._history(upstream)
-        age = self._clock.monotonic() - self.status(upstream).reported_at
+        age_seconds = self._clock.monotonic() - self.status(upstream).reported_at
         expected_growth = history.growth_per_second * min(
-            age, self._settings.max_report_age_seconds
+            age_seconds, self._settings.max_report_age_seconds
         )
         usable_slots = load.slots * (1.0 + headroom_share)
         free_slots = available_slots(
@@ -146,13 +146,13 @@
         """Return the estimated number of a prompt's tokens that an upstream caches."""
         if not hashes:
             return 0
-        matched = self._history(upstream).prefixes.matched_blocks(hashes)
-        return tokens * matched // (len(hashes) + 1)
+        matched_blocks = self._history(upstream).prefix_index.matched_blocks(hashes)
+        return tokens * matched_blocks // (len(hashes) + 1)
 
     def has_cached_prefix(self, upstream: UpstreamId, hashes: tuple[int, ...]) -> bool:
         """Return whether an upstream is estimated to cache most blocks of a prompt."""
-        matched = self._history(upstream).prefixes.matched_blocks(hashes)
-        return matched >= MIN_CACHED_BLOCK_SHARE * len(hashes)
+        matched_blocks = self._history(upstream).prefix_index.matched_blocks(hashes)
+        return matched_blocks >= MIN_CACHED_BLOCK_SHARE * len(hashes)
 
     def record_sent(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Record that a request will be sent once its dispatch is recorded.
@@ -166,12 +166,12 @@
             return
         hashes = prefix_hashes(request.target, request.prompt)
         tokens = estimate_prompt_tokens(request)
-        uncached = max(1, tokens - self.cached_tokens(upstream, hashes, tokens))
+        request_uncached_tokens = max(1, tokens - self.cached_tokens(upstream, hashes, tokens))
         history.corrected_load = None
-        history.ledger.record_placement(key, uncached)
-        history.backlog.record_placement(key, uncached, self._clock.monotonic())
-        history.prefixes.record_sent(hashes)
-        if uncached >= self._settings.long_prompt_tokens:
+        history.ledger.record_placement(key, request_uncached_tokens)
+        history.backlog.record_placement(key, request_uncached_tokens, self._clock.monotonic())
+        history.prefix_index.record_sent(hashes)
+        if request_uncached_tokens >= self._settings.long_prompt_tokens:
             history.long_prompt_keys.add(key)
 
     def record_dispatched(self, request: CallerRequest, upstream: UpstreamId) -> None:
@@ -211,22 +211,22 @@
         status = self.status(upstream)
         history = self._history(upstream)
         now = self._clock.monotonic()
-        elapsed = now - status.reported_at
+        elapsed_seconds = now - status.reported_at
         status.report, status.reported_at = report, now
         history.corrected_load = None
         others_load = self.load(upstream).others
         history.growth_per_second = smoothed_growth(
-            history.growth_per_second, history.others_load, others_load, elapsed
+            history.growth_per_second, history.others_load, others_load, elapsed_seconds
         )
         history.others_load = others_load
 
     def apply_events(self, upstream: UpstreamId, events: tuple[CacheEvent, ...]) -> None:
         """Apply cache events to the prefix index of an upstream."""
-        self._history(upstream).prefixes.apply(events)
+        self._history(upstream).prefix_index.apply(events)
 
     def last_event_sequence(self, upstream: UpstreamId) -> int:
         """Return the sequence number of the last cache event applied."""
-        return self._history(upstream).prefixes.last_sequence
+        return self._history(upstream).prefix_index.last_sequence
 
     def in_flight(self, upstream: UpstreamId) -> int:
         """Return the number of this router's requests in flight at an upstream."""
--- a/packages/quinceferry-daemon/src/quinceferryd/upstream_views.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/upstream_views.py
@@ -59,10 +59,10 @@
         non_leaving = [
             spec for spec in self.non_leaving_upstreams(request) if spec.id not in excluded
         ]
-        fresh = [spec for spec in non_leaving if self.has_fresh_report(spec)]
-        if not fresh:
+        with_fresh_report = [spec for spec in non_leaving if self.has_fresh_report(spec)]
+        if not with_fresh_report:
             self.requested_reports.update(spec.id for spec in non_leaving[:MAX_REQUESTED_REPORTS])
-        return fresh
+        return with_fresh_report
 
     def long_work_upstreams(self, specs: list[UpstreamSpec]) -> set[UpstreamId]:
         """Return the few upstreams that receive long work first, the same on every router.
@@ -126,8 +126,8 @@
         status = self.status(upstream)
         if not status.failures:
             return False
-        cooldown = min(MAX_COOLDOWN_SECONDS, 2.0 ** (status.failures - 1))
-        return self._clock.monotonic() - status.failed_at < cooldown
+        cooldown_seconds = min(MAX_COOLDOWN_SECONDS, 2.0 ** (status.failures - 1))
+        return self._clock.monotonic() - status.failed_at < cooldown_seconds
 
     def is_long(self, request: CallerRequest) -> bool:
         """Return whether a request counts as long work."""
@@ -145,8 +145,8 @@
         status = self.status(spec.id)
         if status.report is None:
             return spec.kind is UpstreamKind.SERVICE
-        age = self._clock.monotonic() - status.reported_at
-        return age <= self._settings.max_report_age_seconds
+        age_seconds = self._clock.monotonic() - status.reported_at
+        return age_seconds <= self._settings.max_report_age_seconds
 
     def _has_loaded(self, spec: UpstreamSpec, request: CallerRequest) -> bool:
         report = self.status(spec.id).report
