--- a/packages/quinceferry-daemon/src/quinceferryd/connections.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/connections.py
@@ -105,7 +105,7 @@
     def accept(self, chunk: Chunk) -> list[Chunk]:
         """Return the chunks that can be delivered to the caller after one has arrived."""
         ready_chunks = self.reassembler.accept(chunk)
-        new_chunks = [self.replay_filter.accept(new_chunk) for new_chunk in ready_chunks]
+        new_chunks = [self.replay_filter.accept(ready) for ready in ready_chunks]
         return [new_chunk for new_chunk in new_chunks if new_chunk is not None]
 
     def check_complete(self, finished: Finished) -> Finished | ConnectionEnding:
