--- a/packages/quinceferry-daemon/src/quinceferryd/choices.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/choices.py
@@ -165,7 +165,8 @@
         )
         urgent = request.priority is Priority.HIGH
         cheapest = min(
-            sampled, key=lambda candidate: self._costs.cost_seconds(candidate, tokens, urgent=urgent)
+            sampled,
+            key=lambda candidate: self._costs.cost_seconds(candidate, tokens, urgent=urgent),
         )
         return next(spec for spec in specs if spec.id == cheapest.upstream)
 
--- a/packages/quinceferry-daemon/src/quinceferryd/tracking.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/tracking.py
@@ -44,7 +44,7 @@
     """
 
     backlog: PrefillBacklog
-    ledger: InFlightTracker = field(default_factory=InFlightTracker)
+    in_flight_tracker: InFlightTracker = field(default_factory=InFlightTracker)
     prefix_index: PrefixIndex = field(default_factory=PrefixIndex)
     growth_per_second: float = 0.0
     others_load: int = 0
@@ -77,7 +77,7 @@
             status.report,
             status.reported_at - self._settings.load_report_lag_seconds,
             now,
-            history.ledger,
+            history.in_flight_tracker,
             routers=self.router_count(),
             prefill_rate=self._settings.prefill_tokens_per_second,
             default_slots=self._settings.default_slots,
@@ -100,7 +100,11 @@
         )
         usable_slots = load.slots * (1.0 + headroom_share)
         free_slots = available_slots(
-            load, usable_slots, history.ledger.in_flight(), self.router_count(), expected_growth
+            load,
+            usable_slots,
+            history.in_flight_tracker.in_flight(),
+            self.router_count(),
+            expected_growth,
         )
         if headroom_share > 0 or (not is_long and self._is_idle(upstream, load)):
             return free_slots
@@ -130,7 +134,7 @@
         if status.report is None:
             return 0.0
         sampled_at = status.reported_at - self._settings.load_report_lag_seconds
-        own_tokens = self._history(upstream).ledger.prefill_tokens_at(sampled_at)
+        own_tokens = self._history(upstream).in_flight_tracker.prefill_tokens_at(sampled_at)
         prefilled_tokens = self._settings.prefill_tokens_per_second * (
             self._clock.monotonic() - sampled_at
         )
@@ -162,13 +166,13 @@
         """
         history = self._history(upstream)
         key = request_key(request)
-        if key in history.ledger.in_flight_by_key:
+        if key in history.in_flight_tracker.in_flight_by_key:
             return
         hashes = prefix_hashes(request.target, request.prompt)
         tokens = estimate_prompt_tokens(request)
         request_uncached_tokens = max(1, tokens - self.cached_tokens(upstream, hashes, tokens))
         history.corrected_load = None
-        history.ledger.record_placement(key, request_uncached_tokens)
+        history.in_flight_tracker.record_placement(key, request_uncached_tokens)
         history.backlog.record_placement(key, request_uncached_tokens, self._clock.monotonic())
         history.prefix_index.record_sent(hashes)
         if request_uncached_tokens >= self._settings.long_prompt_tokens:
@@ -178,21 +182,21 @@
         """Record that a request's dispatch is recorded and its first byte is about to be sent."""
         history = self._history(upstream)
         history.corrected_load = None
-        history.ledger.record_sent(request_key(request), self._clock.monotonic())
+        history.in_flight_tracker.record_sent(request_key(request), self._clock.monotonic())
         history.backlog.record_dispatch(request_key(request), self._clock.monotonic())
 
     def record_first_token(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Record the first token of an answer."""
         history = self._history(upstream)
         history.corrected_load = None
-        history.ledger.record_first_token(request_key(request), self._clock.monotonic())
+        history.in_flight_tracker.record_first_token(request_key(request), self._clock.monotonic())
         history.backlog.remove(request_key(request))
 
     def record_ended(self, request: CallerRequest, upstream: UpstreamId) -> None:
         """Record that a request has ended at an upstream."""
         history = self._history(upstream)
         history.corrected_load = None
-        history.ledger.record_end(request_key(request), self._clock.monotonic())
+        history.in_flight_tracker.record_end(request_key(request), self._clock.monotonic())
         history.backlog.remove(request_key(request))
         history.long_prompt_keys.discard(request_key(request))
 
@@ -230,7 +234,7 @@
 
     def in_flight(self, upstream: UpstreamId) -> int:
         """Return the number of this router's requests in flight at an upstream."""
-        return self._history(upstream).ledger.in_flight()
+        return self._history(upstream).in_flight_tracker.in_flight()
 
     def remove_unused(self) -> None:
         """Remove upstreams without own requests that are unconfigured or long unreachable."""
