--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/__init__.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions on requests, apart from input and output.
+"""Decisions on requests, without I/O.
 
-Nothing here opens a connection, waits or reads a clock: times are passed in, in seconds of a steady
-clock. Each module answers one question and opens with the load that it is made for.
+Nothing here opens a connection, waits or reads a clock: callers pass times in, in seconds of a
+monotonic clock.
 """
 
 from quinceferry_gateway.decisions.placement import Demand, Placement, PlacementPolicy, Placer
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/cached_prefixes.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/cached_prefixes.py
@@ -1,27 +1,27 @@
-"""Which engines likely keep the shared parts of a prompt.
+"""Estimate of which engines cache the shared prefix of a prompt.
 
-The load: callers of one document come back within seconds, and reading its parts anew delays all
-streams of an engine. Engines tell late, and for a price, what they keep; where a prompt was sent is
-known at once.
+Callers of one document send their next prompt within seconds, and prefilling its prefix again
+delays all streams of an engine. Engines report what they cache late and at a cost, whereas the
+gateway knows at once where it sent a prompt.
 """
 
 import hashlib
 from collections import OrderedDict
 
 CACHED_SECONDS = 12.0
-"""How long a part that was sent to an engine counts as kept there. Engines have room for some 20 s
-of the prompts that they read."""
+"""How long an engine is assumed to cache a prefix that was sent to it. The cache of an engine holds
+about 20 s of the prompts that it prefills."""
 MAX_PREFIXES = 8_192
-"""Prompts remembered at once, about 2 MB; the least recently sent go first."""
+"""Most prefixes kept, about 2 MB; evicts those sent least recently."""
 
 
 def hash_prefix(part_ids: list[str]) -> str:
-    """Return a short name of the shared parts of a prompt."""
+    """Return a short key for the shared prefix of a prompt."""
     return hashlib.blake2b(",".join(part_ids).encode(), digest_size=8).hexdigest()
 
 
 class CachedPrefixes:
-    """Where prompts with the same shared parts were sent lately."""
+    """Upstreams to which prompts with the same shared prefix were sent recently."""
 
     __slots__ = ("_sent_at_by_prefix",)
 
@@ -29,7 +29,7 @@
         self._sent_at_by_prefix: OrderedDict[str, dict[str, float]] = OrderedDict()
 
     def record_send(self, prefix_key: str, upstream_id: str, now: float) -> None:
-        """Note that a prompt with these parts went to an upstream."""
+        """Record that a prompt with this prefix was sent to an upstream."""
         sent_at = self._sent_at_by_prefix.setdefault(prefix_key, {})
         sent_at[upstream_id] = now
         self._sent_at_by_prefix.move_to_end(prefix_key)
@@ -37,7 +37,7 @@
             self._sent_at_by_prefix.popitem(last=False)
 
     def caching_upstreams(self, prefix_key: str, now: float) -> dict[str, float]:
-        """Return the upstreams that likely keep the parts, with the time of the last sending."""
+        """Return the upstreams that likely cache the prefix, with the time of the last send."""
         sent_at = self._sent_at_by_prefix.get(prefix_key)
         if not sent_at:
             return {}
@@ -48,6 +48,6 @@
         return sent_at
 
     def remove_upstream(self, upstream_id: str) -> None:
-        """Note that an upstream keeps nothing: it has ended or started anew."""
+        """Remove an upstream whose cache is lost because it has stopped or restarted."""
         for sent_at in self._sent_at_by_prefix.values():
             sent_at.pop(upstream_id, None)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/pauses.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/pauses.py
@@ -1,6 +1,6 @@
-"""Pauses that upstreams ask for when they refuse requests.
+"""Pauses that upstreams request when they reject requests.
 
-An overloaded upstream refuses requests and names a retry time. Any request sent before that time
+An overloaded upstream rejects requests and names a retry time. Any request sent before that time
 adds to its load and costs the caller an attempt.
 """
 
@@ -10,9 +10,9 @@
 
 
 class RequestPause:
-    """The pause that one lifetime of an upstream asked of this gateway.
+    """The pause that one lifetime of an upstream requested from this gateway.
 
-    ``blocked_until`` is the earliest time of the next request, on the steady clock.
+    ``blocked_until`` is the earliest time of the next request, on the monotonic clock.
     """
 
     __slots__ = ("_active", "_probing", "blocked_until")
@@ -35,7 +35,7 @@
             self._probing = True
 
     def answer_received(self, now: float) -> None:
-        """End the pause on an answer that asks for none, unless no probe has been sent yet.
+        """End the pause on an answer that requests none, unless no probe has been sent yet.
 
         Answers to requests from before the pause must not end it early.
         """
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/placement.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/placement.py
@@ -1,13 +1,13 @@
-"""Where a request goes.
+"""Placement of requests on upstreams.
 
-The load: long prompts arrive in clusters, and each one holds up the streams of the engine that
-reads it. Placed by the shared parts of their prompts alone, two or three meet at one engine while
-others read nothing, and all streams there pause for longer than their callers accept. Shared parts
-can be fetched from the engine that keeps them, which costs some milliseconds and no reading, so
-that a prompt may go wherever it does least harm.
+Long prompts arrive in clusters, and each one delays the streams of the engine that prefills it. If
+only the shared prefix decided, two or three of them would meet at one engine while other engines
+are idle, and all streams there would pause for longer than their callers accept. An engine can
+fetch a shared prefix from another one that caches it, which takes some milliseconds and no prefill,
+so a prompt may be placed where it delays others least.
 
-A few prompts are so long that reading one alone makes every stream of its engine pause too long.
-These go where the fewest streams run.
+A few prompts are so long that prefilling one alone makes every stream of its engine pause too long.
+These are placed where the fewest streams run.
 """
 
 import random
@@ -20,47 +20,53 @@
 from quinceferry_gateway.rendezvous import rank_candidates
 
 DEFAULT_MAX_PAUSE_SECONDS = 0.5
-"""Accepted pause where the configuration names none."""
+"""Longest acceptable pause if the configuration has none."""
 
 
 @dataclass(slots=True, frozen=True)
 class PlacementPolicy:
-    """What is weighed, and how much. Costs are in seconds of waiting of the request that is placed.
+    """Weights of the placement costs, in seconds of waiting of the request that is placed.
 
-    The shares of pauses refer to the longest pause that callers accept.
+    The shares of pauses refer to the longest pause between events that callers accept.
     """
 
     undelayed_pause_share: float = 0.5
-    """Reading in a row up to this share harms no stream: the tokens of one event take the rest."""
+    """A prefill backlog up to this share of the pause delays no stream too long; the tokens of one
+    event take the rest."""
     delayed_pause_share: float = 1.0
-    """Reading in a row from this share on makes every stream of the engine late."""
+    """A prefill backlog of at least this share of the pause delays every stream of the engine too
+    long."""
     stream_delay_cost_seconds: float = 0.1
-    """One stream that is held up too long. On the load of the tank book-keeping the model earns
-    0.90 of the worth with it, 0.87 without; on that of the fleet underwriting as much either way.
-    """
+    """Cost of one stream that pauses too long. In the engine model, requests earn 0.90 of their
+    value with it and 0.87 without on the load of the tank book-keeping, and the same either way on
+    the load of the fleet underwriting."""
     cache_miss_cost_seconds: float = 0.05
-    """Leaving the engines that keep the shared parts: a fetch over the engines' links, or reading
-    some thousand tokens again where it fails."""
+    """Cost of an engine that does not cache the shared prefix: a fetch over the network, or the
+    prefill of some thousand tokens if the fetch fails."""
     fetches_prefixes: bool = True
-    """Whether shared parts are fetched from an engine that keeps them."""
+    """Whether an engine fetches a shared prefix from one that caches it."""
     other_zone_cost_seconds: float = 0.01
-    """An engine of another zone, a tie-breaker: in a model of six engines in four zones, 0.47 of
-    the requests cross zones instead of 0.74, and 0.01 less of the worth is earned."""
+    """Cost of an engine in another availability zone, small so that it only breaks ties. In a model
+    of six engines in four zones, 0.47 instead of 0.74 of the requests cross zones, and requests
+    earn 0.01 less of their value."""
     max_normal_slowdown: float = 1.5
-    """How many times as long as expected first events may take at a sound engine; that much comes
-    from prompts of which no gateway was told, and would outweigh the zone."""
+    """Slowdown up to which an engine counts as healthy. Prompts of which no gateway was notified
+    cause that much, and their cost would outweigh that of the zone."""
     slowdown_cost_seconds: float = 0.1
-    """Each further time that first events take longer. With one engine of five slow for 7 of 24 s,
-    0.91 of the worth is earned in the model, 0.90 without."""
+    """Cost per unit of slowdown above ``max_normal_slowdown``. With one engine of five slow for 7
+    of 24 s, requests earn 0.91 of their value in the engine model with it and 0.90 without."""
     unranked_cost_seconds: float = 0.005
-    """Reading new parts elsewhere than where other gateways look for them first."""
+    """Cost, for a prefix that no engine caches, of any engine but the first of the prefix's
+    ranking, where other gateways look for the prefix first."""
     max_ranked_candidates: int = 12
-    """Engines weighed for one prompt besides those that keep its parts; the first of an order that
-    all gateways share. Weighing all of a hundred takes 0.4 ms of processor time, twelve 0.2 ms."""
+    """Engines considered for one prompt besides those that cache its prefix, taken from the start
+    of a ranking that all gateways share. Considering a hundred takes 0.4 ms of processor time,
+    twelve 0.2 ms."""
     overload_slot_share: float = 0.85
-    """Share of slots in use beyond which an upstream counts as crowded."""
+    """Share of slots in use beyond which an upstream counts as overloaded."""
     overload_cost_seconds: float = 1.0
-    """A crowded upstream; preempted streams pause for some hundred milliseconds."""
+    """Cost of an overloaded upstream, whose preempted streams pause for some hundred milliseconds.
+    """
 
 
 DEFAULT_POLICY = PlacementPolicy()
@@ -68,10 +74,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Demand:
-    """What a request asks of an engine.
+    """What a request requires of an engine.
 
-    ``prefix_key`` names the parts of the prompt that other requests are likely to share, empty for
-    a request without a prompt. ``max_pause_seconds`` is the longest pause that streams may make.
+    ``prefix_key`` identifies the part of the prompt that other requests are likely to share, empty
+    for a request without a prompt. ``prefix_tokens`` and ``suffix_tokens`` are the tokens of that
+    part and of the rest. ``max_pause_seconds`` is the longest acceptable pause between events of a
+    stream.
     """
 
     prefix_key: str = ""
@@ -81,10 +89,10 @@
 
     @classmethod
     def from_call(cls, call: Call, max_pause_seconds: float) -> "Demand":
-        """Return what a call asks of an engine."""
+        """Return what a call requires of an engine."""
         if not call.prompt_parts:
             return cls()
-        # The last part belongs to the request itself, unless it is the only one.
+        # Only the last part is not shared with other requests, unless it is the only one.
         shared = call.prompt_parts[:-1] or call.prompt_parts
         prefix_tokens = min(sum(part.tokens for part in shared), call.prompt_tokens)
         return cls(
@@ -97,11 +105,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Placement:
-    """Where a request goes.
+    """Where a request is sent.
 
-    ``uncached_tokens`` are those that the upstream has to read; ``fetch_from`` is an engine that
-    likely keeps the shared parts, when the chosen one does not; ``backlog_seconds`` is how long the
-    chosen one is believed to read before, ``prefill_seconds`` how long it reads this prompt.
+    ``uncached_tokens`` are those that the upstream must prefill. ``fetch_from`` is an engine that
+    likely caches the shared prefix if the chosen one does not. ``backlog_seconds`` is the estimated
+    prefill time of the prompts that the chosen engine received before, ``prefill_seconds`` that of
+    this prompt.
     """
 
     upstream: Upstream
@@ -113,7 +122,11 @@
 
 @dataclass(slots=True)
 class _Candidates:
-    """What the choice for one prompt depends on; ``ranked_ids`` are ordered by rendezvous hash."""
+    """The usable upstreams for one prompt and what the choice among them depends on.
+
+    ``ranked_ids`` are ordered by rendezvous hashing of the shared prefix. ``caching_by_id`` maps
+    the engines that likely cache it to the time of the last send.
+    """
 
     demand: Demand
     upstreams_by_id: dict[str, Upstream]
@@ -125,10 +138,10 @@
 
 
 class Placer:
-    """Chooses upstreams by what is believed of them.
+    """Chooses upstreams by their observed state.
 
     :param zone: availability zone of this gateway.
-    :param source: breaks the ties that are left among upstreams without prompts.
+    :param tie_breaker: chooses among equally loaded upstreams for requests without a prompt.
     """
 
     def __init__(
@@ -150,7 +163,7 @@
         excluded: Collection[str],
         now: float,
     ) -> Placement | None:
-        """Return where the next attempt of a request goes, or None if nowhere.
+        """Return where to send the next attempt of a request, None if no upstream is usable.
 
         :param candidates: upstreams of the service.
         :param excluded: identifiers of upstreams that the request has tried.
@@ -165,7 +178,7 @@
     def _usable(
         self, candidates: Collection[Upstream], excluded: Collection[str], now: float
     ) -> list[Upstream]:
-        """Return the upstreams that may take the request; suspects only when there is no other."""
+        """Return the upstreams that may get the request; suspect ones only if there is no other."""
         usable = [
             item
             for item in candidates
@@ -179,7 +192,7 @@
         return healthy or usable
 
     def _place_prompt(self, demand: Demand, usable: list[Upstream], now: float) -> Placement:
-        """Return the engine where a prompt costs least."""
+        """Return the placement of a prompt with the lowest cost."""
         candidates = self._collect_candidates(demand, usable, now)
         considered = dict.fromkeys(
             [
@@ -200,7 +213,7 @@
     def _collect_candidates(
         self, demand: Demand, usable: list[Upstream], now: float
     ) -> _Candidates:
-        """Collect what the choice depends on."""
+        """Return the candidates for a prompt."""
         upstreams_by_id = {item.id: item for item in usable}
         caching = self._upstream_states.cached_prefixes.caching_upstreams(demand.prefix_key, now)
         caching_by_id = {
@@ -222,7 +235,7 @@
         )
 
     def _cost(self, candidates: _Candidates, upstream_id: str) -> float:
-        """Return what a prompt costs at an engine, in seconds of its own waiting."""
+        """Return the cost of a prompt at an engine, in seconds of waiting of the request itself."""
         policy = self._policy
         state = self._upstream_states.get(candidates.upstreams_by_id[upstream_id])
         wait = state.prefill_queue.backlog_seconds(candidates.now)
@@ -249,14 +262,14 @@
         return cost
 
     def _is_overloaded(self, state: UpstreamState, now: float) -> bool:
-        """Tell whether an upstream has few slots left."""
+        """Return whether an upstream has few free slots."""
         load = state.current_load(now)
         if load is None:
             return False
         return load.running + state.sent_since_load > self._policy.overload_slot_share * load.slots
 
     def _stream_delay_share(self, backlog_seconds: float, demand: Demand) -> float:
-        """Return how likely a stream pauses too long at an engine that reads for so long."""
+        """Return the share of an engine's streams that such a backlog makes pause too long."""
         undelayed_seconds = self._policy.undelayed_pause_share * demand.max_pause_seconds
         delayed_seconds = self._policy.delayed_pause_share * demand.max_pause_seconds
         return min(
@@ -265,13 +278,13 @@
         )
 
     def _load_order(self, upstream: Upstream, now: float) -> tuple[int, bool, float]:
-        """Return a key that orders upstreams of a plain service, least busy first."""
+        """Return a sort key that orders upstreams without prompts by load, lowest first."""
         running = self._upstream_states.get(upstream).estimated_running(now)
         return running, upstream.zone != self._zone, self._tie_breaker.random()
 
 
 def _fetch_from(candidates: _Candidates, chosen: str) -> Upstream | None:
-    """Return the engine that kept the shared parts last, unless the chosen one has them."""
+    """Return the engine that last received the shared prefix, None if the chosen one caches it."""
     if chosen in candidates.caching_by_id:
         return None
     if candidates.caching_by_id:
@@ -281,7 +294,8 @@
                 key=lambda upstream_id: candidates.caching_by_id[upstream_id],
             )
         ]
-    # Short prompts are not told to peers; what others sent lies where the order begins.
+    # Gateways do not notify peers of short prompts, so a prefix that a peer sent is likely at the
+    # first engine of the ranking.
     return (
         candidates.upstreams_by_id[candidates.ranked_ids[0]]
         if chosen != candidates.ranked_ids[0]
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/upstream_states.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/upstream_states.py
@@ -1,8 +1,8 @@
-"""What a gateway believes of each upstream, from its own attempts, reports and peers.
+"""State of each upstream as one gateway observes it: from its own attempts, load reports and peers.
 
-The load: an upstream that dies stays in the list for as long as the store is away, and its address
-may soon answer for another one. Every gateway finds out by itself, request by request, so that what
-an attempt showed must last until something newer contradicts it.
+While the store is unreachable, an upstream that has crashed stays in the list, and its address may
+be reassigned to another upstream. Each gateway detects this from its own requests, so an
+observation stays valid until a newer one contradicts it.
 """
 
 import math
@@ -17,30 +17,35 @@
 from quinceferry_gateway.decisions.rate_limits import RateLimit
 
 FIRST_SUSPECT_SECONDS = 1.5
-"""How long an upstream is avoided after a first failure; its entry lapses after some 3.6 s."""
+"""How long an upstream is avoided after its first failure. The store removes its entry after about
+3.6 s."""
 MAX_SUSPECT_SECONDS = 12.0
-"""Longest time that it is avoided after failures in a row, each of which doubles the time: a dead
-one costs each gateway four attempts in an outage of 15 s instead of ten."""
+"""Upper bound of that time, which doubles with each consecutive failure. In a store outage of 15 s,
+a crashed upstream costs each gateway four attempts; with a constant time it would cost ten."""
 MISDIRECTED_SECONDS = 10.0
-"""How long an upstream is left out whose address answered for another one; outages of the store, in
-which its entry can't lapse, last about as long. It refused 8% of one kind's requests before."""
+"""How long an upstream is excluded after another one answered at its address. This is about as long
+as an outage of the store, during which its entry can't expire. Without the exclusion, 8% of the
+requests of one kind were rejected."""
 MAX_LOAD_AGE_SECONDS = 2.0
-"""Age at which a load report says nothing any more."""
+"""Age at which a load report is ignored."""
 SLOWDOWN_DECAY_SECONDS = 6.0
-"""Time in which a belief that an upstream is slow fades; slow spells last for some seconds, and one
-that is avoided shows nothing new."""
+"""Time constant with which an estimated slowdown decays. Upstreams are slow for a few seconds at a
+time, and one that is avoided yields no new samples."""
 SLOWDOWN_SAMPLE_WEIGHT = 0.3
-"""How far one first event moves the belief; three late ones make it half of what they show."""
+"""Weight of one first event in the estimate. After three late ones the estimate is about half of
+what they show."""
 MAX_SLOWDOWN = 8.0
-"""Largest factor that one first event may show; beyond it lies silence, not slowness."""
+"""Largest slowdown that one first event may show. An upstream that takes longer counts as not
+responding, not as slow."""
 MAX_LEAVING_LIFETIMES = 1_024
-"""Largest number of leaving lifetimes kept; the oldest is evicted first."""
+"""Most leaving lifetimes that are kept; the oldest is evicted first."""
 MAX_IDLE_BACKLOG_SECONDS = 0.02
-"""Backlog up to which a first event shows how long reading takes; a few short prompts."""
+"""Backlog, of a few short prompts, up to which an engine counts as idle, so that the time to the
+first event is a sample of its prefill time."""
 
 
 class UpstreamState:
-    """What is known of one lifetime of an upstream. Times are those of the steady clock.
+    """What is known of one lifetime of an upstream. Times are those of the monotonic clock.
 
     ``notified_rate`` is the rate limit that this gateway last sent to its peers or received from
     one, and ``notified_at`` is when it last sent one. ``no_permit_until`` is the earliest time at
@@ -90,24 +95,24 @@
         self.slowdown_at = 0.0
 
     def slowdown(self, now: float) -> float:
-        """Return how many times as long as expected first events take."""
+        """Return the estimated ratio of actual to expected time to the first event."""
         fading = math.exp((self.slowdown_at - now) / SLOWDOWN_DECAY_SECONDS)
         return 1.0 + (self.slowdown_sample - 1.0) * fading
 
     def record_first_event_time(self, seconds: float, expected: float, now: float) -> None:
-        """Note how long a first event took, and how long it should have."""
+        """Update the slowdown with the actual and the expected time to a first event."""
         shown = min(MAX_SLOWDOWN, max(1.0, seconds / expected))
         state = self.slowdown(now)
         self.slowdown_sample = state + SLOWDOWN_SAMPLE_WEIGHT * (shown - state)
         self.slowdown_at = now
 
     def current_load(self, now: float) -> Load | None:
-        """Return the last report, unless it is too old."""
+        """Return the last load report, None if there is none or it is too old."""
         valid = self.load is not None and now - self.load_at < MAX_LOAD_AGE_SECONDS
         return self.load if valid else None
 
     def estimated_running(self, now: float) -> int:
-        """Return how many requests the upstream works on, as far as known."""
+        """Return the estimated number of requests in progress at the upstream."""
         load = self.current_load(now)
         if load is None:
             return self.in_flight
@@ -115,10 +120,10 @@
 
 
 class Attempt:
-    """One request at an upstream, from its sending to its end.
+    """One request at an upstream, from sending it until its end.
 
-    ``uncached_tokens`` are the prompt tokens that the upstream has to read, as far as known;
-    ``stage`` is how far the request is known to have come there.
+    ``uncached_tokens`` are the prompt tokens that the upstream is estimated to prefill; ``stage``
+    is how far the upstream is known to have come with the request.
     """
 
     __slots__ = (
@@ -151,11 +156,11 @@
         state.sent_since_load += 1
 
     def record_accepted(self) -> None:
-        """Note that the upstream works on the request."""
+        """Record that the upstream has started the request."""
         self.stage = RunStage.BEGUN
 
     def record_first_event(self, now: float) -> None:
-        """Note the first event: the prompt was read."""
+        """Record the first event of the answer, which ends the prefill."""
         self.stage = RunStage.PRODUCING
         if not self._prefill_number:
             return
@@ -168,41 +173,42 @@
         self._prefill_number = 0
 
     def record_load(self, load: Load, now: float) -> None:
-        """Take the report of load that came with the answer."""
+        """Store the load report that came with the answer."""
         self._belief.load = load
         self._belief.load_at = now
         self._belief.sent_since_load = 0
 
     def record_success(self) -> None:
-        """Note a genuine answer: the upstream is sound."""
+        """Record a genuine answer: the upstream is healthy."""
         self._belief.failures = 0
         self._belief.suspect_until = 0.0
 
     def record_failure(self, now: float) -> None:
-        """Note that the connection failed, and avoid the upstream for a while."""
+        """Record a failed connection, and avoid the upstream for a while."""
         state = self._belief
         if now < state.suspect_until:
-            # Requests under way together fail together; only the first of them counts.
+            # Concurrent requests fail together; only the first failure counts.
             return
         seconds = min(MAX_SUSPECT_SECONDS, FIRST_SUSPECT_SECONDS * 2**state.failures)
         state.failures += 1
         state.suspect_until = now + seconds
 
     def record_misdirected(self, now: float) -> None:
-        """Note that another upstream answered at the address."""
+        """Record that another upstream answered at the address."""
         self._belief.misdirected_until = now + MISDIRECTED_SECONDS
 
     def finish(self, now: float) -> None:
-        """Note that the attempt is over."""
+        """End the attempt, and remove its prompt from the prefill queue if it is still there."""
         self._belief.in_flight -= 1
         if self._prefill_number:
             self._belief.prefill_queue.record_finished(self._prefill_number, now)
 
 
 class UpstreamStates:
-    """What is known of all upstreams, and of the engines of each service.
+    """States of all upstreams, and prefill times of the engines of each service.
 
-    ``rate_limited_ids`` holds the ids of upstreams that may have a rate limit in force.
+    ``cached_prefixes`` estimates which engines cache a shared prefix. ``rate_limited_ids`` holds
+    the identifiers of upstreams that may have a rate limit in force.
     """
 
     __slots__ = (
@@ -221,7 +227,7 @@
         self._leaving_lifetimes: dict[tuple[str, float], None] = {}
 
     def get(self, upstream: Upstream) -> UpstreamState:
-        """Return what is known of an upstream; nothing when it has started anew."""
+        """Return the state of an upstream, a new one if the upstream has restarted."""
         state = self._by_id.get(upstream.id)
         if state is None or state.started_at != upstream.started_at:
             state = self._by_id[upstream.id] = UpstreamState(upstream.started_at)
@@ -232,8 +238,8 @@
     def record_leaving(self, upstream_id: str, started_at: float) -> bool:
         """Record that an upstream is leaving, and return whether this is new.
 
-        The record is kept by lifetime, so that a list that lacks the upstream or names it as ready
-        does not undo it.
+        The record is kept by lifetime, so that a list that lacks the upstream or contains it as
+        ready does not undo it.
         """
         lifetime = (upstream_id, started_at)
         if lifetime in self._leaving_lifetimes:
@@ -248,16 +254,16 @@
         return (upstream.id, upstream.started_at) in self._leaving_lifetimes
 
     def prefill_times(self, service: str) -> PrefillTimes:
-        """Return how long the engines of a service read."""
+        """Return the estimated prefill times of the engines of a service."""
         return self._prefill_times_by_service[service]
 
     def start_attempt(
         self, upstream: Upstream, uncached_tokens: int, key: str, now: float
     ) -> Attempt:
-        """Note that a request goes to an upstream.
+        """Record that a request is sent to an upstream, and return the attempt.
 
-        :param unread_tokens: prompt tokens that it has to read.
-        :param key: name of the shared parts of the prompt, empty without any.
+        :param uncached_tokens: prompt tokens that the upstream is estimated to prefill.
+        :param key: key of the shared prefix of the prompt, empty without one.
         """
         attempt = Attempt(
             self.get(upstream), self.prefill_times(upstream.service), uncached_tokens, now
@@ -269,13 +275,13 @@
     def record_peer_prompt(
         self, upstream: Upstream, uncached_tokens: int, key: str, now: float
     ) -> None:
-        """Take from a peer that it sends a prompt to an upstream."""
+        """Record that a peer sends a prompt to an upstream."""
         seconds = self.prefill_times(upstream.service).estimate_seconds(uncached_tokens)
         self.get(upstream).prefill_queue.add(now, seconds)
         self.cached_prefixes.record_send(key, upstream.id, now)
 
     def discard_missing(self, present_ids: Collection[str]) -> None:
-        """Drop what is known of upstreams that are gone."""
+        """Remove the states of upstreams that are not listed, unless requests are in progress."""
         for key in [key for key in self._by_id if key not in present_ids]:
             if self._by_id[key].in_flight <= 0:
                 del self._by_id[key]
