--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/calls.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/calls.py
@@ -1,8 +1,8 @@
-"""Calls between gateways by datagram: sent again until an answer comes or time is up.
+"""Calls between gateways by datagram, resent until an answer arrives or the call times out.
 
-The load: each prompt makes a call to a holder of tokens and a settlement afterwards. Over
-connections of their own these were as many as all connections of callers and upstreams together. A
-call must be idempotent, since it may arrive more than once.
+Each prompt requires a call to a holder of tokens and a settlement afterwards. With a connection for
+each call, these would be as many as all connections of callers and upstreams together. A call must
+be idempotent, since it may arrive more than once.
 """
 
 import asyncio
@@ -17,11 +17,11 @@
 from quinceferry_gateway.logs import log
 
 FIRST_RESEND_SECONDS = 0.07
-"""Pause until a call is sent again the first time, and doubled each time: many round trips within a
-region, and three sends within the time that a request waits for one holder."""
+"""Time until a call is first resent, doubled for each further one. This is many round trips within
+a region, and allows three sends within the time that a request waits for one holder."""
 
 CallHandler = Callable[[bytes], Awaitable[bytes]]
-"""Carries a call out and returns the answer, both encoded."""
+"""Handles an encoded call and returns the encoded answer."""
 
 
 class Call(msgspec.Struct, frozen=True, array_like=True, tag="call"):
@@ -40,14 +40,14 @@
 
 
 class CallTimeoutError(TimeoutError):
-    """No answer came in time; the call may have been carried out."""
+    """No answer arrived in time; the call may have been handled."""
 
 
 class DatagramCalls(Controller):
-    """Makes and serves calls on a datagram port.
+    """Makes and handles calls on a datagram port.
 
-    :param first_number: number of the first call, so that an answer to an earlier process at the
-        same address answers none of this one's.
+    :param first_number: number of the first call. It should be random, so that an answer to an
+        earlier process at the same address does not match a call of this one.
     """
 
     def __init__(self, port: DatagramPort, clock: Clock, first_number: int) -> None:
@@ -62,13 +62,13 @@
         port.add_handler(Reply, self._handle_reply)
 
     def register_handler(self, kind: str, handler: CallHandler) -> None:
-        """Serve the calls of a kind from now on."""
+        """Set the handler of all calls of a kind."""
         self._handlers_by_kind[kind] = handler
 
     async def call(self, address: str, kind: str, body: bytes, timeout_seconds: float) -> bytes:
         """Make a call and return the answer.
 
-        :raises CallTimeoutError: no answer came in time.
+        :raises CallTimeoutError: no answer arrived in time.
         """
         number = next(self._numbers)
         reply = self._replies_by_number[number] = asyncio.get_running_loop().create_future()
@@ -87,7 +87,7 @@
         raise CallTimeoutError(f"no answer within {timeout_seconds} s")
 
     def _handle_call(self, call: Call, sender: object) -> None:
-        """Carry a call out, unless the same one is in progress."""
+        """Start the handler of a call, unless it is running for the same call."""
         handler = self._handlers_by_kind.get(call.kind)
         if handler is None or not isinstance(sender, tuple):
             log.failure("call.unknown", peer=str(sender), kind=call.kind)
@@ -98,7 +98,7 @@
             self.spawn(self._run_handler(handler, call, sender), f"call {call.kind}")
 
     async def _run_handler(self, handler: CallHandler, call: Call, sender: tuple[str, int]) -> None:
-        """Carry a call out and send the answer."""
+        """Run the handler of a call and send its answer."""
         try:
             body = await handler(bytes(call.body))
         except msgspec.DecodeError as error:
@@ -110,7 +110,7 @@
             self._in_progress.discard((sender, call.number))
 
     def _handle_reply(self, reply: Reply, sender: object) -> None:
-        """Hand an answer to the call that waits for it; one that comes late is dropped."""
+        """Pass an answer to the call that waits for it; ignore a late one."""
         future = self._replies_by_number.get(reply.number)
         if future is not None and not future.done():
             future.set_result(bytes(reply.body))
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/copies.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/copies.py
@@ -1,7 +1,8 @@
-"""Copies of the store's lists, handed from gateway to gateway with the age of their reading.
+"""Copies of the store's lists, passed between gateways together with the age of their read.
 
-The load: after a change each gateway hears of the newer copy from several peers within a period.
-Fetches from all of them at once share one link, and a thin link then carries none of them in time.
+After a change, each gateway learns of the newer copy from several peers within a period. If it
+fetched from all of them at once, the fetches would share one link, and on a slow link none would
+finish in time.
 """
 
 import math
@@ -20,18 +21,19 @@
 from quinceferry_gateway.peers import PeerClient, PeerError
 
 FETCH_TIMEOUT_SECONDS = 0.6
-"""Longest silence of a peer that hands over its copy; another peer will offer it half a second
-later."""
+"""Longest time without data from a peer that sends its copy; another peer offers it within half a
+second."""
 MIN_FETCH_INTERVAL_SECONDS = 0.1
-"""Shortest time between two fetches of one list, so that a peer whose copies can't be taken costs
-ten calls a second at most."""
+"""Shortest time between two fetches of one list, so that a peer whose copies are unusable causes at
+most ten calls a second."""
 
 
 @dataclass(slots=True, frozen=True)
 class _NewerCopy:
-    """A copy of a peer that is newer than the own one.
+    """A copy of a peer that is newer than the one of this gateway.
 
-    ``revision`` is the first at which a peer had it, ``first_seen_at`` when that was heard.
+    ``revision`` is the revision in the first summary of this copy that arrived, at
+    ``first_seen_at``.
     """
 
     revision: int
@@ -45,25 +47,26 @@
         """Return which copy this gateway has, None without one."""
 
     def confirm(self, revision: int, asked_at: float) -> None:
-        """Note that the copy held was what the store had at that time and revision."""
+        """Record that the store had the content of the copy at that time and revision."""
 
     def encode(self, now: float) -> bytes | None:
         """Return the copy for a peer, None without one."""
 
     def adopt(self, body: bytes, origin: str, now: float) -> None:
-        """Take a peer's copy, if it is newer.
+        """Replace the copy by that of a peer if the latter is newer.
 
-        :param now: when it was asked for. Its age was that at the peer then or later, so that the
-            time of the transfer makes no copy look more recent.
-        :raises msgspec.DecodeError: it has not the expected form.
+        :param now: when it was requested. Its age was measured at the peer then or later, so the
+            time of the transfer does not make a copy appear more recent.
+        :raises msgspec.DecodeError: the copy is malformed.
         """
 
 
 class CopyReplicator(Controller):
     """Compares the copies of this gateway with those of its peers, and fetches newer ones.
 
-    :param lists_by_kind: the lists that are handed on.
-    :param renewed: called after a copy changed or became more recent.
+    :param lists_by_kind: the lists that are replicated.
+    :param on_update: called after copies may have become more recent, with whether one has new
+        content.
     """
 
     def __init__(
@@ -92,7 +95,7 @@
     def compare(
         self, sender: Member, peer_summaries: Mapping[str, CopySummary], now: float
     ) -> bool:
-        """Take what a peer says of its copies; tell whether one of them is out of date."""
+        """Compare the copies with a peer's summaries; return whether the peer is out of date."""
         peer_is_outdated = False
         for kind, replicated in self._lists_by_kind.items():
             own_summary, peer_summary = replicated.summary(now), peer_summaries.get(kind)
@@ -111,7 +114,7 @@
     def outdated_seconds(self, kind: str, now: float) -> float | None:
         """Return for how long peers have had a newer copy, None if they have none.
 
-        Of several newer ones, the time counts from the first that this gateway has not got.
+        With several newer ones, the time counts from the first that this gateway lacks.
         """
         newer_by_content = self._newer_copies(kind, now)
         first_seen_at = min(
@@ -120,13 +123,13 @@
         return None if first_seen_at is None else now - first_seen_at
 
     def _record_newer(self, kind: str, peer_summary: CopySummary, now: float) -> None:
-        """Note that a peer has a newer copy, and since when it is known of."""
+        """Record that a peer has a newer copy, and when this was first seen."""
         self._newer_copies(kind, now).setdefault(
             peer_summary.content, _NewerCopy(peer_summary.revision, now)
         )
 
     def _newer_copies(self, kind: str, now: float) -> dict[int, _NewerCopy]:
-        """Return the newer copies by content, after forgetting those that this gateway has got."""
+        """Return the newer copies by content, without those that this gateway has received."""
         own_summary = self._lists_by_kind[kind].summary(now)
         newer_by_content = self._newer_by_kind[kind]
         for content, newer in list(newer_by_content.items()):
@@ -140,7 +143,7 @@
         return None if replicated is None else replicated.encode(self._clock.monotonic())
 
     def _begin_fetch(self, kind: str, sender: Member, now: float) -> None:
-        """Fetch a list from a peer, unless another fetch of it is under way or has just begun."""
+        """Fetch a list from a peer, unless a fetch of it is in progress or has just started."""
         is_early = now - self._fetched_at_by_kind.get(kind, -math.inf) < MIN_FETCH_INTERVAL_SECONDS
         if is_early or kind in self._fetching:
             return
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/datagrams.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/datagrams.py
@@ -1,6 +1,6 @@
-"""Datagrams between gateways: one socket, messages handed to whoever takes their kind.
+"""Datagrams between gateways: one socket, with a handler for each type of message.
 
-Losing one costs a later or less exact choice and nothing else, so none is acknowledged or repeated.
+A lost datagram only makes a decision later or less exact, so none is acknowledged or resent.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from quinceferry_gateway.metrics import Metrics
 
 Handler = Callable[[Any, object], None]
-"""Takes a message and the address of its sender."""
+"""Handles a message, given the message and the address of its sender."""
 
 
 class DatagramPort(Controller):
@@ -36,7 +36,7 @@
         self._decoder: msgspec.msgpack.Decoder | None = None
 
     def add_handler(self, message_type: type[msgspec.Struct], handler: Handler) -> None:
-        """Hand messages of a type to a handler from now on."""
+        """Set the handler of all messages of a type."""
         self._handlers_by_type[message_type] = handler
         union = functools.reduce(operator.or_, self._handlers_by_type)
         self._decoder = msgspec.msgpack.Decoder(union)
@@ -58,7 +58,7 @@
         await super().stop()
 
     def send(self, message: msgspec.Struct, addresses: list[str]) -> None:
-        """Send a message to some addresses; nothing before the port listens."""
+        """Send a message to some addresses; send nothing before the port listens."""
         if self._transport is None or not addresses:
             return
         datagram = msgspec.msgpack.encode(message)
@@ -68,7 +68,7 @@
             self._transport.sendto(datagram, host_and_port(address))
 
     def receive(self, datagram: bytes, sender: object) -> None:
-        """Hand a datagram on; one that can't be read changes nothing."""
+        """Decode a datagram and pass it to its handler; log and drop a malformed one."""
         if self._decoder is None:
             return
         try:
@@ -83,15 +83,16 @@
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    """Hands datagrams on."""
+    """Passes datagrams from the transport to the port."""
 
     def __init__(self, port: DatagramPort) -> None:
         self._port = port
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Take one datagram."""
+        """Pass one datagram to the port."""
         self._port.receive(data, addr)
 
     def error_received(self, exc: OSError) -> None:
-        """Note that some datagram was not delivered; silence shows who is gone."""
+        """Log that a datagram was not delivered; peers that stop are detected by their missing
+        digests."""
         log.success("datagram.undelivered", error=str(exc))
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/digests.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/digests.py
@@ -1,4 +1,4 @@
-"""The messages by which gateways tell each other what they know; all ages are whole units."""
+"""The messages with which gateways exchange what they know. All ages are whole units."""
 
 import math
 import zlib
@@ -10,15 +10,15 @@
 from quinceferry_gateway.blackboard import Member
 
 DIGEST_FORMAT = 1
-"""Number of this form; a digest of another form is not read."""
+"""Version of this format; a digest of another version is rejected."""
 AGE_UNIT_SECONDS = 0.05
-"""Resolution of ages. Each hop rounds up by half of it on average, small against the silence after
-which a member counts as unreachable."""
+"""Resolution of ages. Each hop rounds up by half of it on average, which is small compared to the
+time after which a member counts as unreachable."""
 MAX_AGE_UNITS = 1_200
-"""Oldest age that is told, one minute; older knowledge decides nothing."""
+"""Largest age in a digest, one minute; older observations affect no decision."""
 
 IncarnationChecksum = int
-"""A member's incarnation in a digest: its checksum, four bytes instead of some thirty."""
+"""Checksum that stands for an incarnation in a digest, four bytes instead of about thirty."""
 AgeUnits = Annotated[int, msgspec.Meta(ge=0, le=MAX_AGE_UNITS)]
 Revision = Annotated[int, msgspec.Meta(ge=1)]
 
@@ -26,8 +26,8 @@
 class CopySummary(msgspec.Struct, frozen=True, array_like=True):
     """Which copy of a list a gateway has.
 
-    ``revision`` is the store's when it was read, ``content`` a checksum, ``age`` the time since its
-    reading was asked for, wherever that happened.
+    ``revision`` is the store's revision when the list was read, ``content`` a checksum, and ``age``
+    the time since the read was requested, by whichever gateway.
     """
 
     revision: Revision
@@ -38,9 +38,10 @@
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
     """What a gateway knows of the fleet.
 
-    ``ages_by_checksum`` tells how long ago each member was heard from, directly or through others;
-    ``leaving`` names those about to stop. ``reply_requested`` wants a digest in reply at once.
-    ``quarantined_seconds_by_content`` names contents that must not be run, and for how long.
+    ``ages_by_checksum`` states how long ago each member was seen, by the sender or another gateway;
+    ``leaving`` lists members that are about to stop. ``reply_requested`` requests a digest in reply
+    at once. ``quarantined_seconds_by_content`` lists contents that must not be run, and for how
+    long.
     """
 
     format: int
@@ -54,12 +55,12 @@
 
 @lru_cache(maxsize=4096)
 def incarnation_checksum(incarnation: str) -> IncarnationChecksum:
-    """Return the name of an incarnation in digests."""
+    """Return the checksum of an incarnation for digests."""
     return zlib.crc32(incarnation.encode())
 
 
 def age_units(seconds: float) -> int:
-    """Return an age in units, never younger than it is."""
+    """Return an age in units, rounded up."""
     return min(MAX_AGE_UNITS, max(0, math.ceil(seconds / AGE_UNIT_SECONDS)))
 
 
@@ -71,9 +72,9 @@
 def summarize_copy(
     revision: int, content: int, read_at: float | None, now: float
 ) -> CopySummary | None:
-    """Return which copy of a list a gateway has, None without one.
+    """Return the summary of a gateway's copy of a list, None without a copy.
 
-    :param read_at: when the reading of the copy was asked for.
+    :param read_at: when the read of the copy was requested.
     """
     if read_at is None:
         return None
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/gossip.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""Sends digests to a few peers in each period, and takes theirs."""
+"""Exchange of digests: sends them to a few peers in each period, and merges those of peers."""
 
 import random
 from collections.abc import Callable
@@ -21,38 +21,39 @@
 from quinceferry_gateway.membership import MemberReader
 
 PERIOD_SPREAD = 0.2
-"""Share by which periods are spread, so that the fleet's messages don't come in step."""
+"""Random spread of the periods, as a share of them, so that the messages of the fleet don't
+synchronize."""
 MIN_FRESHNESS_GAIN_SECONDS = 0.55
-"""How much more recent the copies must have become since the last digest to send the next one
-before its time: freshness then crosses the fleet in a few hops instead of a few periods, at the
-same number of messages."""
+"""How much more recent the copies must be than in the last digest to send the next one early.
+Freshness then crosses the fleet in a few hops instead of a few periods, with the same number of
+messages."""
 FRESHNESS_PAUSE_SECONDS = 0.4
-"""Shortest time after a digest in which recent copies bring about the next one."""
+"""Shortest time after a digest until more recent copies trigger the next one."""
 LEAVING_FANOUT = 12
-"""Peers that are told at once when this gateway is about to stop; they hand it on."""
+"""Peers that are notified at once when this gateway is about to stop; they pass it on."""
 UNREACHABLE_SHARE = 0.1
-"""Share of digests that go to a member which counts as unreachable, so that both sides of a cut
-find each other again."""
+"""Share of digests that are sent to unreachable members, so that the two sides of a partition
+detect its end."""
 MAX_PROBED_SUSPECTS = 2
-"""Suspect members that are asked directly in each period."""
+"""Most suspect members that are probed directly in each period."""
 REPLY_PAUSE_SECONDS = 0.5
 """Shortest time between two digests in reply to the same peer."""
 CONTENT_FANOUT = 6
-"""Peers that are told of new content. When each gateway tells three, one in twenty hears of it a
-period later only."""
+"""Peers that are notified of new content. With three per gateway, one gateway in twenty receives it
+only a period later."""
 CONTENT_PAUSE_SECONDS = 0.05
-"""Shortest time between two digests for new content; one that is put off goes with the period."""
+"""Shortest time between two digests for new content; a delayed one is sent with the next period."""
 MAX_QUARANTINE_ENTRIES = 16
-"""Contents in quarantine that one digest names, some 600 bytes."""
+"""Most quarantined contents in one digest, about 600 bytes."""
 MIN_SUSPENSION_SECONDS = 0.3
-"""How long the process may have been suspended before nothing it has heard counts as recent."""
+"""Shortest suspension of the machine after which earlier observations no longer count as recent."""
 
 
 class Gossip(Controller):
-    """Keeps this gateway's knowledge of the fleet, and hands it on.
+    """Maintains what this gateway knows of the fleet, and passes it on.
 
-    :param suspended: seconds that the machine was suspended in all, which the steady clock leaves
-        out.
+    :param total_suspended_seconds: returns for how long the machine was suspended in total, time
+        that the monotonic clock leaves out.
     """
 
     def __init__(
@@ -84,20 +85,20 @@
         port.add_handler(Digest, self.handle_digest)
 
     def attach(self, copies: CopyReplicator, crashes: CrashMonitor) -> None:
-        """Hand on these copies with each digest, and which content is in quarantine."""
+        """Set the copies and the crash monitor whose state is sent with each digest."""
         self._copies = copies
         self._crashes = crashes
         crashes.on_quarantine_changed = self._send_quarantine
 
     async def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         self._last_suspended_seconds = self._total_suspended_seconds()
         self.spawn(self._send_forever(), "digests")
 
     def copies_updated(self, content_changed: bool) -> None:
-        """Send a digest soon if the copies have changed or become much more recent.
+        """Send a digest early if the copies have changed or become much more recent.
 
-        :param content: whether a copy has other content than before.
+        :param content_changed: whether a copy has new content.
         """
         since_sent = self._clock.monotonic() - self._sent_at
         more_recent = (
@@ -111,11 +112,11 @@
             self._send(FANOUT)
 
     def announce_leaving(self) -> None:
-        """Tell many peers at once that this gateway is about to stop."""
+        """Notify many peers at once that this gateway is about to stop."""
         self._send(LEAVING_FANOUT)
 
     def handle_digest(self, digest: Digest, sender: object) -> None:
-        """Take a peer's digest."""
+        """Merge a peer's digest."""
         self._handle_suspension()
         board = self._blackboard
         now = self._clock.monotonic()
@@ -136,7 +137,7 @@
             self._reply(peer, now)
 
     def update_reachability(self) -> None:
-        """Work out who is unreachable, and which duties this gateway has."""
+        """Update which members are unreachable, and whether this gateway is a designated reader."""
         self._handle_suspension()
         board = self._blackboard
         now = self._clock.monotonic()
@@ -156,7 +157,7 @@
         board.unreachable = unreachable
         if board.members_read_at is None:
             # Gateways that start together don't know each other yet, and would all be readers: 195
-            # of them began 341 watches in their first eight simulated seconds.
+            # of them would start 341 watches in their first eight seconds.
             return
         self._members.remove_unreachable()
         board.is_store_reader = is_designated_reader(
@@ -183,7 +184,7 @@
         self._port.send(self._build_digest(now), [member.peer_address for member in chosen])
 
     def _probe_suspects(self) -> None:
-        """Ask some members directly that were not heard from for a while."""
+        """Request digests from some suspect members directly."""
         probed = self._random.sample(
             sorted(self._suspects), min(MAX_PROBED_SUSPECTS, len(self._suspects))
         )
@@ -197,14 +198,14 @@
             )
 
     def _reply(self, peer: Member, now: float) -> None:
-        """Send a digest to a peer whose copies are out of date."""
+        """Send a digest to a peer whose copies are out of date or that requested one."""
         if now - self._replied_at_by_vm.get(peer.vm, float("-inf")) < REPLY_PAUSE_SECONDS:
             return
         self._replied_at_by_vm[peer.vm] = now
         self._port.send(self._build_digest(now), [peer.peer_address])
 
     def _build_digest(self, now: float, reply_requested: bool = False) -> Digest:
-        """Return what this gateway knows."""
+        """Return a digest of what this gateway knows."""
         board = self._blackboard
         leaving = [incarnation_checksum(incarnation) for incarnation in board.leaving]
         if board.phase is Phase.DRAINING:
@@ -222,18 +223,18 @@
         )
 
     def _quarantine_entries(self) -> dict[str, int]:
-        """Return contents in quarantine, some of them if there are many."""
+        """Return the quarantined contents, a random sample if there are many."""
         held = self._crashes.quarantined_seconds() if self._crashes else {}
         if len(held) <= MAX_QUARANTINE_ENTRIES:
             return held
         return dict(self._random.sample(sorted(held.items()), MAX_QUARANTINE_ENTRIES))
 
     def _send_quarantine(self) -> None:
-        """Hand on at once what the fleet must know; each gateway does so when it is news to it."""
+        """Send a digest at once after a change of the quarantine."""
         self._send(FANOUT)
 
     def _choose(self, fanout: int) -> list[Member]:
-        """Return the next peers, in an order that names all before it names one again."""
+        """Return the next peers, in a random order that includes all before it repeats one."""
         board = self._blackboard
         usable_by_key = {
             peer.incarnation: peer
@@ -254,13 +255,14 @@
         return chosen
 
     def _is_member(self, peer: Member) -> bool:
-        """Tell whether the sender of a digest is a member."""
+        """Return whether the sender of a digest is a member."""
         return peer.incarnation in self._blackboard.members_by_incarnation
 
     def _add_member(self, peer: Member, now: float) -> bool:
-        """Make the sender of a digest a member; tell whether it became one.
+        """Add the sender of a digest as a member; return whether it was added.
 
-        One whose vm has another incarnation that spoke a moment ago is gone: its message was late.
+        A sender is rejected if another incarnation on its vm was seen a moment ago: the sender has
+        terminated, and its message arrived late.
         """
         board = self._blackboard
         for member in board.members_by_incarnation.values():
@@ -276,7 +278,7 @@
         return True
 
     def _mark_leaving(self, checksums: list[IncarnationChecksum]) -> None:
-        """Note members that are about to stop."""
+        """Mark members that are about to stop."""
         if not checksums:
             return
         board = self._blackboard
@@ -290,7 +292,7 @@
                 log.change("member.leaving", member=peer.incarnation)
 
     def _handle_suspension(self) -> None:
-        """Trust nothing that was heard or read before the machine was suspended."""
+        """Age the copies and reset the liveness after a suspension of the machine."""
         total = self._total_suspended_seconds()
         seconds, self._last_suspended_seconds = total - self._last_suspended_seconds, total
         if seconds < MIN_SUSPENSION_SECONDS:
@@ -300,7 +302,7 @@
         self._blackboard.backdate_copies(seconds)
 
     def _oldest_asked_at(self) -> float:
-        """Return when the older one of the copies that must be recent was read."""
+        """Return when the older one of the copies that must be recent was requested."""
         board = self._blackboard
         read_at = (board.upstreams_read_at, board.configuration_read_at)
         return min(float("-inf") if at is None else at for at in read_at)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/liveness.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/liveness.py
@@ -1,10 +1,11 @@
-"""When each member was last heard from, by this gateway or by another one.
-
-The load: 195 gateways that each probe all others exchange 38,000 messages a round, and with a fixed
-number of probes each, an answer is older than it is valid for once the fleet has grown. Here each
-gateway sends to a few, and what they heard travels on, so that everybody hears of everybody within
-a time that grows with the logarithm of the fleet's size. One gateway's bad link proves nothing: a
-member is silent only when nobody whom this gateway hears of has heard from it.
+"""When each member was last seen, by this gateway or by another one.
+
+If each of 195 gateways probed all others, they would exchange 38,000 messages a round, and with a
+fixed number of probes each, results in a large fleet would expire before the next ones. Instead,
+each gateway sends to a few peers and passes on what it has seen, so an observation reaches all
+gateways in a time that grows with the logarithm of the fleet's size. A failing link of one gateway
+proves nothing: a member is unreachable only when no gateway that this one receives reports from has
+seen it.
 """
 
 import math
@@ -13,29 +14,31 @@
 from quinceferry_gateway.fleet.digests import AGE_UNIT_SECONDS, IncarnationChecksum
 
 FANOUT = 3
-"""Peers that get a digest in each period. With two, the oldest knowledge is a third older."""
+"""Peers that receive a digest in each period. With two, the oldest observation is a third older."""
 PERIOD_SECONDS = 0.6
-"""Longest time between two digests of a gateway; five messages a second with the fan-out."""
+"""Longest time between two digests of a gateway; with the fan-out, five messages a second."""
 UNREACHABLE_BASE_SECONDS = 1.9
 UNREACHABLE_SECONDS_PER_DOUBLING = 0.4
-"""A member is silent after the base, and so much more for each doubling of the fleet: 3.1 s at 8,
-5.0 s at 195. With a period of 0.5 s and 5% of digests lost, the oldest knowledge in 10 to 35
-simulated seconds was 1.8 s at 8, 3.6 s at 195 and 4.2 s at 400 gateways."""
+"""A member is unreachable when it has not been seen for the base and this time for each doubling of
+the fleet: 3.1 s at 8 gateways, 5.0 s at 195. With a period of 0.5 s and 5% of digests lost, the
+oldest observation in 10 to 35 s of a simulation is 1.8 s old at 8, 3.6 s at 195 and 4.2 s at 400
+gateways."""
 SUSPECT_SHARE = 0.6
-"""Part of a silence after which a member is suspect: it is asked directly, and others get the
-digests meanwhile. Without that, two of 100 living gateways were called unreachable by some when 100
-others were killed together, since half of all digests went to the dead."""
+"""Share of that time after which a member is suspect: it is probed directly, and others receive the
+digests meanwhile. Otherwise half of all digests go to stopped gateways when 100 of 200 are killed
+together, and some gateways consider two of the 100 live ones unreachable."""
 MAX_SHARED_AGE_SECONDS = 12.0
-"""Age from which on a member is no longer told of, more than twice the longest silence."""
+"""Age from which an observation is left out of digests, more than twice the longest time after
+which a member is unreachable."""
 
 
 def unreachable_after_seconds(members: int) -> float:
-    """Return the silence after which a member of a fleet of that size counts as unreachable."""
+    """Return the time after which an unseen member of a fleet of that size is unreachable."""
     return UNREACHABLE_BASE_SECONDS + UNREACHABLE_SECONDS_PER_DOUBLING * math.log2(max(2, members))
 
 
 class Liveness:
-    """Follows when members were heard from. Times are those of the steady clock, in seconds."""
+    """Tracks when members were last seen. Times are those of the monotonic clock, in seconds."""
 
     __slots__ = ("_seen_at_by_checksum", "_tracked_at_by_checksum")
 
@@ -44,10 +47,10 @@
         self._tracked_at_by_checksum: dict[IncarnationChecksum, float] = {}
 
     def track(self, checksums: Collection[IncarnationChecksum], now: float) -> None:
-        """Follow these members and no others.
+        """Track these members and no others.
 
-        One that is new may stay unheard for the time of a silence; that is not told to others, who
-        may know better.
+        A new member may stay unseen until it counts as unreachable. Its start of tracking is not
+        sent to other gateways, which may have newer observations.
         """
         for checksum in self._tracked_at_by_checksum.keys() - set(checksums):
             del self._tracked_at_by_checksum[checksum]
@@ -56,17 +59,17 @@
             self._tracked_at_by_checksum.setdefault(checksum, now)
 
     def record_seen(self, checksum: IncarnationChecksum, at: float) -> None:
-        """Note a message of a member; an older one changes nothing."""
+        """Record a message of a member; an older one has no effect."""
         if checksum in self._tracked_at_by_checksum and at > self._seen_at_by_checksum.get(
             checksum, -math.inf
         ):
             self._seen_at_by_checksum[checksum] = at
 
     def merge(self, ages_by_checksum: Mapping[IncarnationChecksum, int], now: float) -> None:
-        """Take what another gateway has heard; unknown members are passed over.
+        """Merge the observations of another gateway; unknown members are ignored.
 
-        Written without calls, since each digest names the whole fleet: 0.026 ms for 200
-        members on one core, instead of 0.046 ms.
+        Written without calls, since each digest contains the whole fleet: 0.026 ms for 200 members
+        on one core, instead of 0.046 ms.
         """
         seen, tracked = self._seen_at_by_checksum, self._tracked_at_by_checksum
         for checksum, units in ages_by_checksum.items():
@@ -75,7 +78,7 @@
                 seen[checksum] = at
 
     def ages(self, now: float) -> dict[IncarnationChecksum, int]:
-        """Return how long ago members were heard from, as far as that is recent."""
+        """Return how long ago members were seen, without old observations."""
         since = now - MAX_SHARED_AGE_SECONDS
         seen = self._seen_at_by_checksum.items()
         return {
@@ -85,13 +88,13 @@
         }
 
     def seen_within(self, checksum: IncarnationChecksum, seconds: float, now: float) -> bool:
-        """Tell whether a member was heard from that recently."""
+        """Return whether a member was seen that recently."""
         return now - self._seen_at_by_checksum.get(checksum, -math.inf) < seconds
 
     def unseen(
         self, checksums: Iterable[IncarnationChecksum], members: int, now: float, share: float = 1.0
     ) -> set[IncarnationChecksum]:
-        """Return those of some members that were silent for so much of the time of a silence."""
+        """Return the members unseen for that share of the time after which they are unreachable."""
         limit = share * unreachable_after_seconds(members)
         never = -math.inf
         seen, tracked = self._seen_at_by_checksum, self._tracked_at_by_checksum
@@ -102,6 +105,6 @@
         }
 
     def reset(self, now: float) -> None:
-        """Forget what was heard and begin anew, since the clock stood still for a while."""
+        """Discard all observations after the clock has stood still, and restart tracking."""
         self._seen_at_by_checksum.clear()
         self._tracked_at_by_checksum = dict.fromkeys(self._tracked_at_by_checksum, now)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/packing.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/packing.py
@@ -1,7 +1,7 @@
-"""Compression of the lists that go from gateway to gateway.
+"""Compression of the lists that gateways send to each other.
 
-Entries of a list resemble each other, so that a configuration of a thousand routes shrinks to a
-fraction of its size, and a thin link carries it in so much less time.
+Entries of a list resemble each other, so a configuration of a thousand routes shrinks to a fraction
+of its size, and takes that much less time on a slow link.
 """
 
 import zlib
@@ -9,20 +9,20 @@
 import msgspec
 
 COMPRESSION_LEVEL = 1
-"""Fastest level; the highest makes a configuration a fifth smaller, in eight times the time."""
+"""Fastest level. The highest makes a configuration a fifth smaller, in eight times the time."""
 MAX_UNPACKED_BYTES = 16_777_216
-"""Largest list that is taken from a peer, many times what the store accepts as a value."""
+"""Largest list accepted from a peer, many times what the store accepts as a value."""
 
 
 def pack(content: bytes) -> bytes:
-    """Return content for a peer."""
+    """Return content compressed for a peer."""
     return zlib.compress(content, COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
-    """Return the content that a peer packed.
+    """Return content that a peer compressed.
 
-    :raises msgspec.DecodeError: it is damaged, or too large.
+    :raises msgspec.DecodeError: the content is damaged or too large.
     """
     decompressor = zlib.decompressobj()
     try:
@@ -30,5 +30,5 @@
     except zlib.error as error:
         raise msgspec.DecodeError(str(error)) from error
     if not decompressor.eof:
-        raise msgspec.DecodeError("the content is cut off, or too large")
+        raise msgspec.DecodeError("the compressed content is truncated or too large")
     return content
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/read_schedule.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/read_schedule.py
@@ -1,9 +1,10 @@
 """Which gateways read the store, and when.
 
-The load: a call to the store costs the same for each gateway that makes it, so that lists which all
-read cost calls in proportion to the fleet. Few designated readers read at a fixed interval; what
-they read is handed on. Everybody else reads only when its copy is older than the bound of its list
-allows, which happens when the readers fail, are cut off, or can't be heard.
+A call to the store costs the same for each gateway that makes it, so lists that every gateway reads
+would cost calls in proportion to the fleet. A few designated readers read at a fixed interval, and
+the others receive copies of the result. A gateway that is no designated reader reads only when its
+copy exceeds the maximum age of the list, which happens when the readers fail, are partitioned, or
+can't be reached.
 """
 
 import random
@@ -12,45 +13,48 @@
 from quinceferry_gateway.rendezvous import rank_candidates
 
 READER_COUNT = 3
-"""Designated readers, so that two may fail at once, and readings lie a third of the interval
-apart."""
+"""Number of designated readers. Two may fail at once, and reads are a third of the interval apart.
+"""
 READERS_RANKING_KEY = "readers"
 JITTER_SHARE = 0.15
-"""Spread of the age at which a gateway that is no reader reads for itself, so that those whose
-copies are equally old don't all call at once: the first to read hands its copy on."""
+"""Spread of the age at which other gateways read, so that those whose copies are equally old don't
+all call at once: the first to read passes its copy on."""
 FIRST_JITTER_SHARE = 1.0
-"""The same after the first reading, when the gateways that started together don't yet hear of each
-other; the platform's bounds apply to none of them before its second reading."""
+"""The same after the first read, when gateways that started together don't yet receive each other's
+digests; the platform's bounds apply to none of them before its second read."""
 INTERVAL_SHARE = 0.35
-"""Part of its bound after which a designated reader reads a list again: three readers make one
-reading in an eighth of the bound."""
+"""Share of the bound of a list after which a designated reader reads it again. Three readers then
+make a read in every eighth of the bound."""
 MAX_AGE_SHARE = 0.6
-"""Part of the bound to which a copy may age before any gateway reads for itself: with the jitter no
-copy is older than 0.7 of the bound, and the rest is for a slow store and a gateway under load."""
+"""Share of the bound that the age of a copy may reach before any gateway reads the list. With the
+jitter no copy is older than 0.7 of the bound; the rest is for a slow store and a gateway under
+load."""
 MIN_PAUSE_SECONDS = 0.05
 MAX_PAUSE_SECONDS = 0.6
-"""Bounds of the pause between two looks at the clock; a gateway finds out that it has become a
-reader with its digests, once in that time."""
+"""Bounds of the pause between two checks of the schedule. Digests may make a gateway a designated
+reader at any time, and it notices this at its next check."""
 RETRY_SECONDS = 0.25
-"""Pause of a designated reader after a call that failed; it finds the store's return."""
+"""Pause of a designated reader after a failed call, short so that it detects when the store
+recovers."""
 NON_READER_RETRY_SECONDS = (2.0, 5.0)
-"""Bounds of the pause of all others after a call that failed: 190 gateways then make 55 calls a
-second in an outage, and a hundred of them that alone are served find out within 0.1 s."""
+"""Bounds of the pause of other gateways after a failed call. In an outage, 190 gateways then make
+55 calls a second, and if only a hundred of them can reach the store, they detect this within 0.1 s.
+"""
 SKIPPED_READ_SECONDS = 0.5
-"""How often a list that is not tried, since another one can't be read either, is looked at
-again."""
+"""Interval at which to check again a list that is not read because another list can't be read
+either."""
 
 
 def is_designated_reader(own_vm: str, vms: Iterable[str]) -> bool:
-    """Tell whether a gateway is a designated reader of a fleet on these vms."""
+    """Return whether a gateway is a designated reader of a fleet on these vms."""
     return own_vm in rank_candidates(READERS_RANKING_KEY, vms)[:READER_COUNT]
 
 
 class ReadSchedule:
-    """When this gateway reads one list next. Times are those of the steady clock, in seconds.
+    """When this gateway reads one list next. Times are those of the monotonic clock, in seconds.
 
-    :param interval_seconds: between two readings of a designated reader.
-    :param max_age_seconds: age of the copy at which anybody reads.
+    :param interval_seconds: between two reads of a designated reader.
+    :param max_age_seconds: age of the copy at which any gateway reads.
     """
 
     def __init__(
@@ -66,8 +70,8 @@
     def due_at(self, is_reader: bool, asked_at: float | None) -> float:
         """Return when to read next.
 
-        :param reader: whether this gateway is a designated reader.
-        :param asked_at: when the reading of its copy was asked for; None without a copy.
+        :param is_reader: whether this gateway is a designated reader.
+        :param asked_at: when the read of its copy was requested; None without a copy.
         """
         if asked_at is None or self._last_started_at is None and is_reader:
             return self._retry_at
@@ -77,16 +81,16 @@
         return max(due_at, self._retry_at)
 
     def read_started(self, now: float) -> None:
-        """Note that a reading begins."""
+        """Record that a read starts."""
         share = FIRST_JITTER_SHARE if self._last_started_at is None else JITTER_SHARE
         self._last_started_at = now
         self._jitter_seconds = self._draw_jitter(share)
 
     def read_failed(self, is_reader: bool, asked_at: float | None, now: float) -> None:
-        """Note that a reading failed, and draw the pause.
+        """Record that a read failed, and draw the pause before the next one.
 
-        Without a copy it is that of a designated reader: after all gateways were ended together,
-        none served for four seconds when it was that of the others.
+        A gateway without a copy pauses as a designated reader does. With the longer pause, none of
+        the gateways that were stopped together serves for four seconds after their restart.
         """
         urgent = is_reader or asked_at is None
         self.delay(
@@ -94,16 +98,16 @@
         )
 
     def pause_seconds(self, is_reader: bool, asked_at: float | None, now: float) -> float:
-        """Return how long to wait until it is worth looking again; zero when a reading is due."""
+        """Return the time until the next check of the schedule; zero when a read is due."""
         remaining_seconds = self.due_at(is_reader, asked_at) - now
         if remaining_seconds <= 0:
             return 0.0
         return min(MAX_PAUSE_SECONDS, max(MIN_PAUSE_SECONDS, remaining_seconds))
 
     def delay(self, seconds: float, now: float) -> None:
-        """Read no sooner than after a pause."""
+        """Delay the next read by at least so many seconds."""
         self._retry_at = now + seconds
 
     def _draw_jitter(self, share: float) -> float:
-        """Return how far beyond the limit the copy may age."""
+        """Return how far the age of the copy may exceed the maximum."""
         return self._random.random() * share * self._max_age_seconds
