--- a/packages/quinceferry-gateway/src/quinceferry_gateway/catalog.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/catalog.py
@@ -1,11 +1,11 @@
-"""What the operators configured and which upstreams exist, as plain values."""
+"""Configuration of the operators, upstreams and requests as plain values."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class RouteKind(Enum):
-    """What may be repeated on a route, and how its answer arrives."""
+    """Whether requests of a route may be retried, and whether its answers are streams."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Destination:
-    """A service that takes part of a route's requests."""
+    """A service that gets a share of a route's requests, in proportion to ``weight``."""
 
     service: str
     weight: int
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Where requests of a host and path prefix go, and how long they may take.
+    """Where requests of a host and path prefix are sent, and how long they may take.
 
     ``max_pause_seconds`` is the longest pause between events of a stream that callers accept, zero
     if not configured.
@@ -43,7 +43,7 @@
 
     @property
     def retryable(self) -> bool:
-        """Tell whether a request may be sent again after it may have run."""
+        """Return whether a request may be sent again after it may have run."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAM and self.resumable
         )
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Workspace:
-    """A customer; ``prepaid_tokens`` is None when nothing is counted."""
+    """A customer; ``prepaid_tokens`` is None if its tokens are not limited."""
 
     name: str
     prepaid_tokens: int | None = None
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """One version of all that operators configured."""
+    """One version of the configuration of the operators."""
 
     version: int
     routes_by_host: dict[str, tuple[Route, ...]]
@@ -100,10 +100,11 @@
 class Upstream:
     """One lifetime of an upstream.
 
-    A restart gives it another identifier, or the same one with a later ``started_at``: its Unix
-    time in seconds, by its own clock, zero when it does not say. What was known of one lifetime
-    does not hold for the next. ``registration`` is the revision of the store at which its entry was
-    created: it changes when the entry's lease ended and it registered again.
+    A restart gives it another identifier, or the same one with a later ``started_at``: the Unix
+    time of its start in seconds, by its own clock, zero if it does not state it. What was observed
+    in one lifetime does not apply to the next. ``registration`` is the revision of the store at
+    which its entry was created: it changes when the lease of the entry expired and the upstream
+    registered again.
     """
 
     id: str
@@ -126,7 +127,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PromptPart:
-    """A piece of a prompt that other requests may share."""
+    """A part of a prompt that other requests may share."""
 
     id: str
     tokens: int
@@ -134,10 +135,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """One request of a caller; its body and headers stay opaque.
+    """One request of a caller, with its body and headers undecoded.
 
-    ``headers`` are those that travel on to an upstream. ``resume_after`` is the last event that the
-    caller already has.
+    ``headers`` are those that are forwarded to an upstream. ``resume_after`` identifies the last
+    event that the caller already has.
     """
 
     request_id: str
@@ -156,13 +157,13 @@
 
     @property
     def max_tokens(self) -> int:
-        """Return the most tokens that the request can cost."""
+        """Return the most tokens that the request can use."""
         return self.prompt_tokens + self.max_output_tokens
 
 
 @dataclass(slots=True, frozen=True)
 class Load:
-    """What an upstream last said of its own load."""
+    """The load that an upstream last reported of itself."""
 
     running: int
     waiting: int
@@ -173,15 +174,14 @@
 class AnswerHead:
     """Status line and headers of an upstream's answer.
 
-    ``not_run`` is the upstream's own statement that it did not begin the request; ``misdirected``
-    says besides that another upstream is at the address. ``request_id`` is
-    the request it answers, empty when it does not say. ``genuine`` tells that the headers bear the
-    upstream's mark. ``max_requests_per_second`` is the request rate that the upstream accepts
-    across all gateways, None when the answer has no valid limit. ``leaving`` tells that the
-    upstream is shutting down and must get no new requests.
-    ``retry_after_seconds`` is the pause in requests that a 503 asks of this gateway, None when the
-    answer has no valid one. ``malformed_headers`` names the headers about the upstream that could
-    not be parsed.
+    ``not_run`` is the upstream's own statement that it did not start the request; with
+    ``misdirected``, another upstream is at the address. ``request_id`` is the request it answers,
+    empty if not stated. ``genuine`` states whether the headers contain the upstream's mark.
+    ``max_requests_per_second`` is the request rate that the upstream accepts across all gateways,
+    None when the answer has no valid limit. ``leaving`` states that the upstream is shutting down
+    and must get no new requests. ``retry_after_seconds`` is the time for which a 503 asks this
+    gateway to send no requests, None when the answer has no valid one. ``malformed_headers`` names
+    the headers about the upstream that could not be parsed.
     """
 
     status: int
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/crashes.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/crashes.py
@@ -1,8 +1,8 @@
-"""Finds out which upstreams crashed under which requests, and keeps the fleet from crashing more.
+"""Detection of upstreams that crash while they run a request, and quarantine of its content.
 
-Each gateway sees the connections that break, and only its own. It tells all peers which requests an
-upstream had when it crashed, so that every gateway has the evidence of the whole fleet; what one of
-them concludes travels on with the digests.
+Each gateway observes only the broken connections of its own requests. It reports to all peers which
+requests an upstream had when it crashed, so that every gateway has the evidence of the whole fleet.
+Digests carry the decisions.
 """
 
 import asyncio
@@ -23,20 +23,21 @@
 from quinceferry_gateway.transport import HttpClient
 
 LISTEN_CHECK_TIMEOUT_SECONDS = 0.3
-"""Longest wait for a connection to an upstream that may have crashed: a refusal comes within a
-round trip, and one lost packet takes some 200 ms. The request's own next attempt waits for it."""
+"""Longest wait for a connection to an upstream that may have crashed: a refusal takes one round
+trip, and a lost packet about 200 ms. The next attempt of the request waits for it."""
 MAX_ID_CHARACTERS = 200
-"""Longest name of a content or lifetime that is believed."""
+"""Longest identifier of a content or lifetime that is accepted from a peer."""
 MAX_STOPPED_LIFETIMES = 256
-"""Lifetimes of upstreams that are remembered as ended."""
+"""Most lifetimes of stopped upstreams that are kept."""
 
 QuarantineListener = Callable[[str, float, bool], None]
-"""Takes a content that this gateway put into quarantine, for how many seconds, and whether on
-evidence of its own."""
+"""Receives a content that this gateway quarantined, the seconds of the quarantine, and whether the
+deciding evidence is its own."""
 
 
 class CrashReport(msgspec.Struct, frozen=True, array_like=True, tag="crash"):
-    """An upstream crashed while it had a request; ``lifetime`` names one start of it."""
+    """An upstream crashed while it had a request; ``lifetime`` identifies the upstream and its
+    start."""
 
     lifetime: str
     content: str
@@ -44,7 +45,7 @@
 
 
 class CompletionReport(msgspec.Struct, frozen=True, array_like=True, tag="completed"):
-    """Content that was under suspicion has been answered."""
+    """Content that was suspected has been answered."""
 
     content: str
 
@@ -52,20 +53,20 @@
 def quarantine_refusal(progress: Progress, held_seconds: float) -> Refusal:
     """Return the answer to a request whose content is in quarantine; it has not run.
 
-    The status promises just that, and says when the content may run again. One that blames the
-    caller's request for good would be wrong for a bystander, and once the upstreams are mended.
+    The status states that, and when the content may run again. A status that rejects the request
+    permanently would be wrong for content that is not the cause, and once the upstreams are fixed.
     """
     detail = f"content {progress.fingerprint} crashed upstreams"
     return Refusal(Reason.QUARANTINED, detail, retry_seconds=held_seconds)
 
 
 class CrashMonitor(Controller):
-    """Collects evidence of crashes, shares it, and tells which content is in quarantine.
+    """Collects evidence of crashes, shares it, and provides which content is in quarantine.
 
-    ``concluded`` is called when evidence puts content into quarantine, ``renewed`` when anything
-    does, word of a peer included.
+    ``on_quarantine_decided`` is called when evidence puts content into quarantine,
+    ``on_quarantine_changed`` when anything does, including a digest of a peer.
 
-    :param quarantine: the decision; this controller feeds it.
+    :param quarantine: decides on the evidence that this controller collects.
     """
 
     def __init__(
@@ -102,10 +103,10 @@
         return self._quarantine.remaining_seconds(progress.fingerprint, self._clock.monotonic())
 
     def may_retry(self, progress: Progress) -> bool:
-        """Tell whether a request may go to another upstream after one broke off.
+        """Return whether a request may be sent to another upstream after its connection broke.
 
-        It may not when one more crash would put its content into quarantine: if the content is the
-        cause, the crash breaks all that runs there, and if it is not, its caller can ask again.
+        It may not if one more crash would put its content into quarantine: if the content is the
+        cause, the crash breaks all requests that run there, and if it is not, its caller can retry.
         """
         now = self._clock.monotonic()
         return self._quarantine.is_empty or not self._quarantine.next_crash_quarantines(
@@ -113,7 +114,7 @@
         )
 
     def request_completed(self, progress: Progress) -> None:
-        """Note that a request was answered by an upstream that works on."""
+        """Record that a request was answered by an upstream that keeps running."""
         if self._quarantine.is_empty or not self._quarantine.is_suspected(progress.fingerprint):
             return
         self._handle_completion_report(CompletionReport(progress.fingerprint), "own")
@@ -122,16 +123,16 @@
     async def connection_closed(
         self, progress: Progress, upstream: Upstream, stage: RunStage
     ) -> None:
-        """Take that an upstream closed the connection of a request in the middle.
+        """Handle that an upstream closed the connection of a request before the end of its answer.
 
-        Returns when it is known whether the upstream crashed; what follows from it is done even if
-        the caller leaves meanwhile.
+        Returns when it is known whether the upstream crashed. The crash is handled even if the
+        caller disconnects in the meantime.
         """
         check = self.spawn(self._check_crash(progress, upstream, stage), "crash")
         await asyncio.shield(check)
 
     def add_quarantined(self, seconds_by_content: dict[str, float], origin: str) -> None:
-        """Take from a peer or the store what is in quarantine."""
+        """Add quarantined contents from a peer or the store."""
         now = self._clock.monotonic()
         new_contents = [
             content
@@ -144,15 +145,16 @@
             self.on_quarantine_changed()
 
     def quarantined_seconds(self) -> dict[str, int]:
-        """Return what is in quarantine and for how many whole seconds, for a digest.
+        """Return the quarantined contents with their remaining whole seconds, for a digest.
 
-        Rounded down, so that two gateways which hand it to each other come to its end.
+        The seconds are rounded down, so that an entry expires even if gateways keep sending it to
+        each other.
         """
         seconds_by_content = self._quarantine.remaining_seconds_by_content(self._clock.monotonic())
         return {content: int(left) for content, left in seconds_by_content.items() if left >= 1}
 
     async def _check_crash(self, progress: Progress, upstream: Upstream, stage: RunStage) -> None:
-        """Find out whether an upstream crashed, and note and tell which request it had."""
+        """Check whether an upstream crashed, and record and report the request that it had."""
         lifetime = f"{upstream.id}@{upstream.started_at}"
         if not await self._has_stopped(lifetime, upstream):
             return
@@ -168,10 +170,10 @@
         self._record_crash(report, "own", by_own_evidence=True)
 
     async def _has_stopped(self, lifetime: str, upstream: Upstream) -> bool:
-        """Tell whether nobody listens at an upstream's address any more.
+        """Return whether no process listens at an upstream's address any more.
 
-        A single connection that breaks shows no crash: links are reset, and sound upstreams close
-        connections. Requests that break together share one check.
+        A single broken connection is no evidence of a crash: links are reset, and healthy upstreams
+        close connections. Requests that break at the same time share one check.
         """
         if lifetime in self._stopped_lifetimes:
             return True
@@ -184,7 +186,7 @@
         return lifetime in self._stopped_lifetimes
 
     async def _check_listening(self, lifetime: str, upstream: Upstream) -> None:
-        """Remember an upstream as ended if nobody listens there."""
+        """Mark a lifetime as stopped if no process listens at the address."""
         if await self._http.listens(upstream.address, LISTEN_CHECK_TIMEOUT_SECONDS):
             return
         self._metrics.count_upstream_crash(upstream.service)
@@ -193,7 +195,7 @@
             del self._stopped_lifetimes[next(iter(self._stopped_lifetimes))]
 
     def _handle_crash_report(self, report: CrashReport, sender: object) -> None:
-        """Take a peer's evidence."""
+        """Add the evidence of a peer."""
         if max(len(report.content), len(report.lifetime)) > MAX_ID_CHARACTERS:
             log.failure("crash.malformed", peer=str(sender))
             return
@@ -202,7 +204,7 @@
     def _record_crash(
         self, report: CrashReport, origin: str, by_own_evidence: bool = False
     ) -> None:
-        """Take evidence, and what follows from it."""
+        """Add evidence, and quarantine the content if the evidence suffices."""
         now = self._clock.monotonic()
         if report.lifetime not in self._settling_lifetimes:
             self._settling_lifetimes.add(report.lifetime)
@@ -211,26 +213,26 @@
             self._announce_quarantine(report.content, origin, by_own_evidence)
 
     async def _settle_evidence(self, lifetime: str) -> None:
-        """Draw conclusions from a crash once all peers must have told of it."""
+        """Decide on a crash again once the reports of all peers must have arrived."""
         await self._clock.sleep(EVIDENCE_DELAY_SECONDS)
         self._settling_lifetimes.discard(lifetime)
         for content in self._quarantine.evaluate_crash(lifetime, self._clock.monotonic()):
             self._announce_quarantine(content, "settled", by_own_evidence=False)
 
     def _announce_quarantine(self, content: str, origin: str, by_own_evidence: bool) -> None:
-        """Let others know that content is in quarantine."""
+        """Log that content is in quarantine and notify the listeners."""
         self._log_quarantine(content, origin)
         seconds = self._quarantine.remaining_seconds(content, self._clock.monotonic())
         self.on_quarantine_decided(content, seconds, by_own_evidence)
         self.on_quarantine_changed()
 
     def _handle_completion_report(self, report: CompletionReport, sender: object) -> None:
-        """Take that content was answered."""
+        """Record that content was answered; quarantine any other that the crashes now point to."""
         for content in self._quarantine.record_completion(report.content, self._clock.monotonic()):
             self._announce_quarantine(content, str(sender), by_own_evidence=False)
 
     def _log_quarantine(self, content: str, origin: str) -> None:
-        """Log that content is in quarantine, and for which crashes as far as known here."""
+        """Log that content is in quarantine, with the known crashes that are attributed to it."""
         now = self._clock.monotonic()
         log.change(
             "quarantine.began",
@@ -241,5 +243,5 @@
         )
 
     def _send_to_peers(self, message: msgspec.Struct) -> None:
-        """Send a message to all peers, those that seem unreachable among them."""
+        """Send a message to all peers, including unreachable ones."""
         self._port.send(message, [peer.peer_address for peer in self._blackboard.peers()])
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fingerprints.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fingerprints.py
@@ -1,20 +1,21 @@
-"""Names for the content of requests that tell nothing of it."""
+"""Identifiers for the content of requests that don't reveal it."""
 
 import hashlib
 
 from quinceferry_gateway.catalog import Call
 
 DIGEST_BYTES = 16
-"""Size of a fingerprint: no two of the contents that a fleet sees in a year collide by chance."""
+"""Size of a fingerprint, large enough that no two contents that a fleet receives in a year collide.
+"""
 
 
 def request_fingerprint(call: Call, workspace: str) -> str:
-    """Return what all requests with the same content have in common.
+    """Return an identifier that all requests with the same content share.
 
     The same content is the same caller, method, host, path with its query, and body. Headers are
-    left out: each try has an identifier and a deadline of its own.
+    left out, since each attempt has its own identifier and deadline.
 
-    :param workspace: whose request it is, so that no caller can have another's content refused.
+    :param workspace: whose request it is, so that no caller can get another's content rejected.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (workspace.encode(), call.method, call.host.encode(), call.target, call.body):
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/permits.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/permits.py
@@ -26,7 +26,7 @@
 MAX_REQUESTS_PER_SECOND = 1e9
 """Largest rate accepted from a peer, in requests a second."""
 MAX_SCHEDULES = 1_024
-"""Most schedules that an issuer keeps, one per lifetime of an upstream; evicts the oldest."""
+"""Most schedules that an issuer keeps, one per lifetime of an upstream; it evicts the oldest."""
 
 Lifetime = tuple[str, float]
 """Identifier and start time of an upstream."""
@@ -128,7 +128,7 @@
         calls.register_handler(PERMIT_CALL_KIND, self._issuer.serve)
 
     def needed(self, upstream: Upstream) -> bool:
-        """Tell whether a request to an upstream needs a permit."""
+        """Return whether a request to an upstream needs a permit."""
         return self._rate_limit(upstream) is not None
 
     def pause_seconds(self, upstream: Upstream) -> float:
@@ -197,7 +197,7 @@
 def permit_issuer(blackboard: Blackboard, upstream_id: str) -> Member:
     """Return the gateway that grants permits for an upstream.
 
-    Ranking by VM keeps the assignment when a gateway restarts on the same VM.
+    Ranking by vm keeps the assignment when a gateway restarts on the same vm.
     """
     members_by_vm = {member.vm: member for member in blackboard.usable_members()}
     if not members_by_vm:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/progress.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/progress.py
@@ -1,4 +1,4 @@
-"""How far a request and the answer to its caller have come."""
+"""Progress of a request and of the answer to its caller."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class CallerStream:
-    """The answer to the caller, as far as it has gone."""
+    """The answer to the caller, as far as it has been sent."""
 
     send_head: SendHead
     send_events: SendBytes
@@ -26,10 +26,10 @@
 
 @dataclass(slots=True)
 class Progress:
-    """How far a request has come.
+    """Progress of a request.
 
     ``delivered_sends`` counts the sends that reached an upstream, ``misdirected`` those of them
-    that reached another upstream than the chosen one. ``may_have_run`` tells whether an attempt
+    that reached another upstream than the chosen one. ``may_have_run`` states whether an attempt
     reached an upstream that did not reject it, and ``retry_granted`` whether the retry budget has
     already granted the next attempt.
     """
@@ -52,7 +52,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """Return what tells the request's content from others; worked out when first asked for."""
+        """Return the identifier of the request's content, computed at the first use."""
         if not self._fingerprint:
             workspace = self.workspace.name if self.workspace else ""
             self._fingerprint = request_fingerprint(self.call, workspace)
@@ -60,5 +60,5 @@
 
     @property
     def workspace_name(self) -> str:
-        """Return the workspace, as it is named in logs and metrics."""
+        """Return the name of the workspace for logs and metrics."""
         return self.workspace.name if self.workspace else "none"
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/quarantine_records.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/quarantine_records.py
@@ -1,4 +1,4 @@
-"""What is in quarantine, in the store, so that it outlives the end of all gateways at once."""
+"""Records of the quarantine in the store, which persist if all gateways terminate at once."""
 
 from datetime import UTC, datetime
 
@@ -15,23 +15,24 @@
 
 QUARANTINE_PREFIX = "quinceferry/quarantine/"
 MAX_LEASE_SECONDS = 600.0
-"""Longest lease that the store grants; with it a record goes by itself."""
+"""Longest lease that the store grants; the store removes the record when it expires."""
 RETRY_SECONDS = 0.5
-"""Pause after a call to the store that failed."""
+"""Pause after a failed call to the store."""
 
 
 class QuarantineRecord(msgspec.Struct, frozen=True):
-    """One content in quarantine, until a time by the wall clock."""
+    """One content in quarantine until a wall-clock time."""
 
     content: str
     ends_at: datetime
 
 
 class QuarantineRecords(Controller):
-    """Reads the records once, at the start, and writes one for each conclusion.
+    """Reads the records once, at the start, and writes one for each decision.
 
-    Running gateways learn of each other's conclusions by digests. Those records are written by the
-    gateway whose evidence decided, and by the designated readers in case it ends just then.
+    Running gateways receive each other's decisions in digests. The gateway whose own evidence was
+    decisive writes the record, and so do the designated readers in case it terminates at that
+    moment.
     """
 
     def __init__(
@@ -45,16 +46,16 @@
         crashes.on_quarantine_decided = self._quarantine_decided
 
     async def start(self) -> None:
-        """Begin to read."""
+        """Start reading."""
         self.spawn(self._read(), "quarantine")
 
     def _quarantine_decided(self, content: str, seconds: float, by_own_evidence: bool) -> None:
-        """Write a record of a conclusion, if that is up to this gateway."""
+        """Write a record of a decision if this gateway is one of its writers."""
         if by_own_evidence or self._blackboard.is_store_reader:
             self.spawn(self._write(content, seconds), "quarantine record")
 
     async def _read(self) -> None:
-        """Take all records, as soon as the store answers."""
+        """Read all records, as soon as the store answers."""
         while True:
             try:
                 entries = await self._store.list(QUARANTINE_PREFIX)
@@ -67,7 +68,7 @@
             return
 
     async def _write(self, content: str, seconds: float) -> None:
-        """Write a record unless there is one, for as long as it matters."""
+        """Write a record unless one exists, retrying until the quarantine ends."""
         record = QuarantineRecord(
             content, datetime.fromtimestamp(self._unix_seconds() + seconds, UTC)
         )
@@ -92,7 +93,7 @@
             await self._store.revoke_lease(lease)
 
     def _seconds_by_content(self, entries: list[KvEntry]) -> dict[str, float]:
-        """Return how long contents are still in quarantine; what can't be read is logged."""
+        """Return how long contents stay in quarantine; log malformed records."""
         seconds_by_content = {}
         for entry in entries:
             try:
@@ -104,5 +105,5 @@
         return seconds_by_content
 
     def _unix_seconds(self) -> float:
-        """Return the wall-clock time in seconds."""
+        """Return the wall-clock time as a Unix time in seconds."""
         return self._clock.now().timestamp()
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/retries.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/retries.py
@@ -1,18 +1,19 @@
-"""The fleet's budget of repeated sends, of which each gateway uses its share."""
+"""Retry budget of the fleet, of which each gateway uses its share."""
 
 from collections import deque
 
 from quinceferry_core.clocks import Clock
 
 USABLE_SHARE = 0.8
-"""Part of the budget that is used; the rest covers members that come and go within a window."""
+"""Share of the budget that is used; the rest allows for members that join or leave within a window.
+"""
 
 
 class RetryBudget:
-    """Bounds the sends beyond the first of each request, for one service.
+    """Limits the retries of one service.
 
-    :param ratio: repeats allowed for each request of a window.
-    :param slack: repeats allowed to the whole fleet in a window besides.
+    :param ratio: retries allowed per request of a window.
+    :param slack: additional retries allowed to the whole fleet in a window.
     :param window_seconds: length of a window.
     """
 
@@ -25,11 +26,11 @@
         self._retries: deque[float] = deque()
 
     def count_request(self) -> None:
-        """Note a request that callers sent."""
+        """Count a request of a caller."""
         self._requests.append(self._clock.monotonic())
 
     def try_acquire(self, members: int) -> bool:
-        """Take one repeat out of the budget, if this gateway's share has one left.
+        """Take one retry from the budget; return whether this gateway's share had one left.
 
         :param members: gateways that share the budget.
         """
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/sends.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/sends.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of the prompts that they have just sent."""
+"""Notices between gateways about the prompts that they have just sent."""
 
 import random
 
@@ -11,17 +11,17 @@
 from quinceferry_gateway.logs import log
 
 MIN_NOTICE_PREFILL_SHARE = 0.05
-"""Share of the accepted pause from which on the reading of a prompt is told. Shorter ones matter
-only many together, and reports show those."""
+"""Share of the longest acceptable pause from which peers are notified of a prompt with that prefill
+time. Shorter ones matter only in large numbers, which load reports show."""
 MAX_NOTIFIED_PEERS = 8
-"""Peers that are told of one prompt at most, drawn anew each time: all of a small fleet. With 96, a
-fleet of 83 sent 33,000 datagrams a second at 340 prompts a second."""
+"""Most peers that are notified of one prompt, drawn at random each time: all of a small fleet. With
+96, a fleet of 83 sends 33,000 datagrams a second at 340 prompts a second."""
 MAX_PROMPT_TOKENS = 10_000_000
-"""Largest prompt that a datagram is believed to tell of."""
+"""Largest prompt accepted in a notice."""
 
 
 class SentPrompt(msgspec.Struct, frozen=True, array_like=True, tag="sent"):
-    """A prompt was sent to an upstream; ``prefix_key`` names the parts that it shares."""
+    """A prompt was sent to an upstream; ``prefix_key`` identifies its shared prefix."""
 
     upstream: str
     started_at: float
@@ -30,7 +30,7 @@
 
 
 class SendNotifier:
-    """Tells peers of prompts that keep an engine busy, and takes what they tell."""
+    """Notifies peers of prompts with a long prefill, and applies their notices."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         port.add_handler(SentPrompt, self.handle_notice)
 
     def notify_peers(self, placement: Placement, demand: Demand) -> None:
-        """Tell peers where a prompt goes, if an engine reads it for long enough to matter."""
+        """Notify peers of a placed prompt if its prefill takes long enough to matter."""
         if placement.prefill_seconds < MIN_NOTICE_PREFILL_SHARE * demand.max_pause_seconds:
             return
         upstream = placement.upstream
@@ -61,7 +61,7 @@
         self._port.send(notice, [peer.peer_address for peer in peers])
 
     def handle_notice(self, notice: SentPrompt, sender: object) -> None:
-        """Take what a peer tells; what names no known upstream changes nothing."""
+        """Apply a notice from a peer; ignore one about an unknown upstream."""
         upstream = self._blackboard.upstreams_by_id.get(notice.upstream)
         if upstream is None or upstream.started_at != notice.started_at:
             return
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/signals.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/signals.py
@@ -23,7 +23,7 @@
 
 
 class RateLimitNotice(msgspec.Struct, frozen=True, array_like=True, tag="limit"):
-    """Tells peers the rate that an upstream announces, None when it has withdrawn its limit."""
+    """The rate that an upstream announces, None when it has withdrawn its limit."""
 
     upstream: str
     started_at: float
@@ -38,7 +38,7 @@
 
 
 class UpstreamSignals:
-    """Updates the beliefs about upstreams from the headers of their answers.
+    """Updates the states of upstreams from the headers of their answers.
 
     :param port: carries notices between gateways.
     :param metrics: counts requests sent to upstreams that limit their request rate.
@@ -88,7 +88,7 @@
         self._notify_peers(upstream)
 
     def _update_pause(self, upstream: Upstream, seconds: float | None) -> None:
-        """Begin, extend or end the pause of an upstream and log and count each one it asks for."""
+        """Begin, extend or end the pause of an upstream; log and count each one it requests."""
         pause, now = self._upstream_states.get(upstream).pause, self._clock.monotonic()
         if seconds is None:
             pause.answer_received(now)
@@ -122,7 +122,7 @@
         self._send_to_peers(RateLimitNotice(upstream.id, upstream.started_at, rate))
 
     def _send_to_peers(self, notice: msgspec.Struct) -> None:
-        """Send a notice to all peers, including those that seem unreachable."""
+        """Send a notice to all peers, including unreachable ones."""
         self._port.send(notice, [peer.peer_address for peer in self._blackboard.peers()])
 
     def _record_leaving(self, upstream_id: str, started_at: float, origin: str) -> bool:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_choice.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_choice.py
@@ -24,7 +24,7 @@
 
 
 class UpstreamSelector:
-    """Chooses the upstream of each attempt and acquires a permit where one is needed.
+    """Selects the upstream of each attempt and acquires a permit where one is needed.
 
     :param permits: acquires permits for requests to rate-limited upstreams.
     """
@@ -56,7 +56,7 @@
         return self._place(progress, candidates)
 
     def has_usable(self, progress: Progress) -> bool:
-        """Tell whether any upstream can serve the request, now or once a permit is available."""
+        """Return whether any upstream can serve the request, now or once a permit is available."""
         return self._place(progress, self._candidates(progress)) is not None
 
     async def acquire(
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
@@ -1,7 +1,7 @@
-"""Keeps the list of upstreams current.
+"""Maintenance of the list of upstreams.
 
-Designated readers read it from the store; all others take their copies, with what these concluded
-of missing entries, and read for themselves only when the copies grow old.
+Designated readers read it from the store. The others receive their copies, including the decisions
+on missing entries, and read the store only when the copies grow old.
 """
 
 import random
@@ -29,21 +29,22 @@
 from quinceferry_gateway.store_health import record_store_answer, record_store_failure
 
 HEARTBEATS_PER_LEASE = 3
-"""Heartbeats without renewal after which the lease of an upstream ends."""
+"""Heartbeats without renewal after which the lease of an upstream expires."""
 ABSENCE_GRACE_SECONDS = 2.5
-"""How long after the store's return a missing upstream may be used: live ones are back within about
-two seconds, and three seconds after it one that has left may get no more requests."""
+"""How long a missing upstream may be used after the store has recovered. Live ones register again
+within about two seconds, and one that has left must get no requests three seconds after the
+recovery."""
 
 
 class AbsentUpstream(msgspec.Struct, frozen=True):
-    """An upstream that is used though the list lacks it, and for how much longer."""
+    """An upstream that is used although the list lacks it, and for how many seconds more."""
 
     upstream: Upstream
     seconds: float
 
 
 class UpstreamsCopy(msgspec.Struct, frozen=True):
-    """The list of upstreams as one gateway hands it to another."""
+    """The list of upstreams as one gateway sends it to another."""
 
     revision: int
     age_seconds: float
@@ -52,11 +53,11 @@
 
 
 class UpstreamReader(Controller):
-    """Follows the list of upstreams.
+    """Keeps the list of upstreams current.
 
     :param blackboard: receives the upstreams.
     :param heartbeat_seconds: interval at which upstreams renew their leases.
-    :param bound_seconds: time until one that leaves may get no more requests.
+    :param bound_seconds: time after which an upstream that leaves must get no more requests.
     """
 
     def __init__(
@@ -84,7 +85,7 @@
         )
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start reading."""
         self.spawn(self._follow(), "upstreams")
 
     def summary(self, now: float) -> CopySummary | None:
@@ -93,7 +94,7 @@
         return summarize_copy(board.upstreams_revision, self._content, board.upstreams_read_at, now)
 
     def confirm(self, revision: int, asked_at: float) -> None:
-        """Note that the store held the same list at that time and revision."""
+        """Record that the store had the same list at that time and revision."""
         board = self._blackboard
         board.upstreams_revision = max(board.upstreams_revision, revision)
         if board.upstreams_read_at is None or asked_at > board.upstreams_read_at:
@@ -116,10 +117,10 @@
         return pack(msgspec.msgpack.encode(copy))
 
     def adopt(self, body: bytes, origin: str, now: float) -> None:
-        """Take a peer's list, with what it concluded of missing entries.
+        """Replace the list by a peer's newer one, including its decisions on missing entries.
 
-        :param now: when it was asked for.
-        :raises msgspec.DecodeError: it has not the expected form.
+        :param now: when it was requested.
+        :raises msgspec.DecodeError: the copy is malformed.
         """
         copy = msgspec.msgpack.decode(unpack(body), type=UpstreamsCopy)
         if copy.age_seconds < 0 or copy.revision <= self._blackboard.upstreams_revision:
@@ -134,7 +135,7 @@
         self._publish(copy.revision, asked_at, now)
 
     async def _follow(self) -> None:
-        """Read the list when it is due, and drop missing entries whose time is over."""
+        """Read the list when it is due, and remove missing entries whose time has expired."""
         board = self._blackboard
         while True:
             now = self._clock.monotonic()
@@ -165,7 +166,7 @@
             self._apply_list(listed, asked_at)
 
     def _apply_list(self, listed: UpstreamList, asked_at: float) -> None:
-        """Take a list that is not older than the one known."""
+        """Apply a list that is not older than the current one."""
         if listed.revision < self._blackboard.upstreams_revision:
             return
         now = self._clock.monotonic()
@@ -186,14 +187,14 @@
         board.upstreams_by_id = by_id
 
     def _record_absences(self, kept: dict[str, Upstream], now: float) -> None:
-        """Note since when upstreams are used though the list lacks them, and log new ones."""
+        """Record since when upstreams are used although the list lacks them, and log new ones."""
         since = self._blackboard.missing_since_by_upstream
         for key in kept.keys() - since.keys():
             log.change("upstream.kept", upstream=key)
         self._blackboard.missing_since_by_upstream = {key: since.get(key, now) for key in kept}
 
     def _log_changes(self, before: dict[str, Upstream], now: dict[str, Upstream]) -> None:
-        """Log upstreams that came, went or began to leave."""
+        """Log upstreams that were added or removed, or that started draining."""
         for key, item in now.items():
             previous = before.get(key)
             if previous is None:
@@ -205,6 +206,6 @@
 
 
 def _checksum(listed: Iterable[Upstream], kept: Iterable[str]) -> int:
-    """Return a number that changes when the listed upstreams or the names of the kept ones do."""
+    """Return a checksum of the listed upstreams and the identifiers of missing ones in use."""
     items = sorted(listed, key=lambda upstream: upstream.id)
     return zlib.crc32(msgspec.json.encode([items, sorted(kept)]))
