--- a/packages/quinceferry-gateway/src/quinceferry_gateway/callers.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/callers.py
@@ -236,7 +236,7 @@
         """Send what a request came to."""
         request_id = progress.call.request_id
         if isinstance(outcome, Refusal):
-            if progress.stream.begun:
+            if progress.stream.head_sent:
                 # Returning with the body unfinished closes the connection; the caller sees a break.
                 log.failure(
                     "stream.broken",
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/catalog.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/catalog.py
@@ -36,7 +36,7 @@
     timeout_seconds: float
     objective_seconds: float
     priority: int
-    attempts: int
+    max_attempts: int
     anonymous: bool = False
     resumable: bool = False
     max_pause_seconds: float = 0.0
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/crashes.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/crashes.py
@@ -50,14 +50,14 @@
     content: str
 
 
-def quarantine_refusal(progress: Progress, held_seconds: float) -> Refusal:
+def quarantine_refusal(progress: Progress, remaining_seconds: float) -> Refusal:
     """Return the answer to a request whose content is in quarantine; it has not run.
 
     The status states that, and when the content may run again. A status that rejects the request
     permanently would be wrong for content that is not the cause, and once the upstreams are fixed.
     """
     detail = f"content {progress.fingerprint} crashed upstreams"
-    return Refusal(Reason.QUARANTINED, detail, retry_seconds=held_seconds)
+    return Refusal(Reason.QUARANTINED, detail, retry_seconds=remaining_seconds)
 
 
 class CrashMonitor(Controller):
@@ -151,7 +151,11 @@
         each other.
         """
         seconds_by_content = self._quarantine.remaining_seconds_by_content(self._clock.monotonic())
-        return {content: int(left) for content, left in seconds_by_content.items() if left >= 1}
+        return {
+            content: int(remaining)
+            for content, remaining in seconds_by_content.items()
+            if remaining >= 1
+        }
 
     async def _check_crash(self, progress: Progress, upstream: Upstream, stage: RunStage) -> None:
         """Check whether an upstream crashed, and record and report the request that it had."""
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/placement.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/placement.py
@@ -168,14 +168,14 @@
         :param candidates: upstreams of the service.
         :param excluded: identifiers of upstreams that the request has tried.
         """
-        usable = self._usable(candidates, excluded, now)
+        usable = self._filter_usable(candidates, excluded, now)
         if not usable:
             return None
         if not demand.prefix_key:
             return Placement(min(usable, key=lambda item: self._load_order(item, now)))
         return self._place_prompt(demand, usable, now)
 
-    def _usable(
+    def _filter_usable(
         self, candidates: Collection[Upstream], excluded: Collection[str], now: float
     ) -> list[Upstream]:
         """Return the upstreams that may get the request; suspect ones only if there is no other."""
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/rate_limits.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/rate_limits.py
@@ -76,11 +76,11 @@
     :param now: start of the schedule; the first slot is one interval later.
     """
 
-    __slots__ = ("_last_at", "_last_retry_at", "_started_at")
+    __slots__ = ("_last_slot_at", "_last_retry_at", "_started_at")
 
     def __init__(self, now: float) -> None:
         self._started_at = now
-        self._last_at = now
+        self._last_slot_at = now
         self._last_retry_at = now
 
     def reserve(
@@ -93,12 +93,12 @@
         """
         if not sole_issuer or now - self._started_at < TAKEOVER_SECONDS:
             rate *= REDUCED_RATE_SHARE
-        slot_at = max(now, self._last_at + 1 / rate)
+        slot_at = max(now, self._last_slot_at + 1 / rate)
         wait = slot_at - now
         if wait > max_wait_seconds:
             retry_at = max(slot_at, self._last_retry_at + 1 / rate)
             retry_at = min(retry_at, now + MAX_RETRY_SPREAD_SECONDS)
             self._last_retry_at = retry_at
             return SlotReservation(False, wait, max(wait, retry_at - now))
-        self._last_at = slot_at
+        self._last_slot_at = slot_at
         return SlotReservation(True, wait)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/upstream_states.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/upstream_states.py
@@ -54,10 +54,10 @@
     """
 
     __slots__ = (
-        "failures",
+        "consecutive_failures",
         "in_flight",
         "load",
-        "load_at",
+        "load_received_at",
         "malformed_headers",
         "misdirected_until",
         "next_permit_at",
@@ -69,7 +69,7 @@
         "prefill_queue",
         "sent_since_load",
         "slowdown_at",
-        "slowdown_sample",
+        "last_slowdown",
         "started_at",
         "suspect_until",
     )
@@ -78,9 +78,9 @@
         self.started_at = started_at
         self.in_flight = 0
         self.load: Load | None = None
-        self.load_at = 0.0
+        self.load_received_at = 0.0
         self.sent_since_load = 0
-        self.failures = 0
+        self.consecutive_failures = 0
         self.suspect_until = 0.0
         self.misdirected_until = 0.0
         self.rate_limit = RateLimit()
@@ -91,24 +91,24 @@
         self.notified_at = float("-inf")
         self.malformed_headers: tuple[str, ...] = ()
         self.prefill_queue = PrefillQueue()
-        self.slowdown_sample = 1.0
+        self.last_slowdown = 1.0
         self.slowdown_at = 0.0
 
     def slowdown(self, now: float) -> float:
         """Return the estimated ratio of actual to expected time to the first event."""
-        fading = math.exp((self.slowdown_at - now) / SLOWDOWN_DECAY_SECONDS)
-        return 1.0 + (self.slowdown_sample - 1.0) * fading
+        decay = math.exp((self.slowdown_at - now) / SLOWDOWN_DECAY_SECONDS)
+        return 1.0 + (self.last_slowdown - 1.0) * decay
 
     def record_first_event_time(self, seconds: float, expected: float, now: float) -> None:
         """Update the slowdown with the actual and the expected time to a first event."""
-        shown = min(MAX_SLOWDOWN, max(1.0, seconds / expected))
-        state = self.slowdown(now)
-        self.slowdown_sample = state + SLOWDOWN_SAMPLE_WEIGHT * (shown - state)
+        sample = min(MAX_SLOWDOWN, max(1.0, seconds / expected))
+        current = self.slowdown(now)
+        self.last_slowdown = current + SLOWDOWN_SAMPLE_WEIGHT * (sample - current)
         self.slowdown_at = now
 
     def current_load(self, now: float) -> Load | None:
         """Return the last load report, None if there is none or it is too old."""
-        valid = self.load is not None and now - self.load_at < MAX_LOAD_AGE_SECONDS
+        valid = self.load is not None and now - self.load_received_at < MAX_LOAD_AGE_SECONDS
         return self.load if valid else None
 
     def estimated_running(self, now: float) -> int:
@@ -128,7 +128,7 @@
 
     __slots__ = (
         "_sent_to_idle_engine",
-        "_belief",
+        "_state",
         "_expected_seconds",
         "_prefill_number",
         "_prefill_times",
@@ -138,19 +138,22 @@
     )
 
     def __init__(
-        self, state: UpstreamState, prefill_times: PrefillTimes, tokens: int, now: float
+        self, state: UpstreamState, prefill_times: PrefillTimes, uncached_tokens: int, now: float
     ) -> None:
-        self._belief = state
+        self._state = state
         self._prefill_times = prefill_times
-        self.uncached_tokens = tokens
+        self.uncached_tokens = uncached_tokens
         self.stage = RunStage.SENT
         self._sent_at = now
-        backlog, prefill = state.prefill_queue.backlog_seconds(now), prefill_times.estimate_seconds(
-            tokens
+        backlog_seconds, prefill_seconds = (
+            state.prefill_queue.backlog_seconds(now),
+            prefill_times.estimate_seconds(uncached_tokens),
+        )
+        self._sent_to_idle_engine = backlog_seconds < MAX_IDLE_BACKLOG_SECONDS
+        self._expected_seconds = prefill_times.base_seconds + backlog_seconds + prefill_seconds
+        self._prefill_number = (
+            state.prefill_queue.add(now, prefill_seconds) if uncached_tokens else 0
         )
-        self._sent_to_idle_engine = backlog < MAX_IDLE_BACKLOG_SECONDS
-        self._expected_seconds = prefill_times.base_seconds + backlog + prefill
-        self._prefill_number = state.prefill_queue.add(now, prefill) if tokens else 0
         state.pause.request_sent(now)
         state.in_flight += 1
         state.sent_since_load += 1
@@ -166,42 +169,42 @@
             return
         seconds = now - self._sent_at
         if self._prefill_times.base_seconds:
-            self._belief.record_first_event_time(seconds, self._expected_seconds, now)
+            self._state.record_first_event_time(seconds, self._expected_seconds, now)
         if self._sent_to_idle_engine:
             self._prefill_times.record_sample(self.uncached_tokens, seconds)
-        self._belief.prefill_queue.record_finished(self._prefill_number, now)
+        self._state.prefill_queue.record_finished(self._prefill_number, now)
         self._prefill_number = 0
 
     def record_load(self, load: Load, now: float) -> None:
         """Store the load report that came with the answer."""
-        self._belief.load = load
-        self._belief.load_at = now
-        self._belief.sent_since_load = 0
+        self._state.load = load
+        self._state.load_received_at = now
+        self._state.sent_since_load = 0
 
     def record_success(self) -> None:
         """Record a genuine answer: the upstream is healthy."""
-        self._belief.failures = 0
-        self._belief.suspect_until = 0.0
+        self._state.consecutive_failures = 0
+        self._state.suspect_until = 0.0
 
     def record_failure(self, now: float) -> None:
         """Record a failed connection, and avoid the upstream for a while."""
-        state = self._belief
+        state = self._state
         if now < state.suspect_until:
             # Concurrent requests fail together; only the first failure counts.
             return
-        seconds = min(MAX_SUSPECT_SECONDS, FIRST_SUSPECT_SECONDS * 2**state.failures)
-        state.failures += 1
+        seconds = min(MAX_SUSPECT_SECONDS, FIRST_SUSPECT_SECONDS * 2**state.consecutive_failures)
+        state.consecutive_failures += 1
         state.suspect_until = now + seconds
 
     def record_misdirected(self, now: float) -> None:
         """Record that another upstream answered at the address."""
-        self._belief.misdirected_until = now + MISDIRECTED_SECONDS
+        self._state.misdirected_until = now + MISDIRECTED_SECONDS
 
     def finish(self, now: float) -> None:
         """End the attempt, and remove its prompt from the prefill queue if it is still there."""
-        self._belief.in_flight -= 1
+        self._state.in_flight -= 1
         if self._prefill_number:
-            self._belief.prefill_queue.record_finished(self._prefill_number, now)
+            self._state.prefill_queue.record_finished(self._prefill_number, now)
 
 
 class UpstreamStates:
@@ -258,32 +261,34 @@
         return self._prefill_times_by_service[service]
 
     def start_attempt(
-        self, upstream: Upstream, uncached_tokens: int, key: str, now: float
+        self, upstream: Upstream, uncached_tokens: int, prefix_key: str, now: float
     ) -> Attempt:
         """Record that a request is sent to an upstream, and return the attempt.
 
         :param uncached_tokens: prompt tokens that the upstream is estimated to prefill.
-        :param key: key of the shared prefix of the prompt, empty without one.
+        :param prefix_key: key of the shared prefix of the prompt, empty without one.
         """
         attempt = Attempt(
             self.get(upstream), self.prefill_times(upstream.service), uncached_tokens, now
         )
-        if key:
-            self.cached_prefixes.record_send(key, upstream.id, now)
+        if prefix_key:
+            self.cached_prefixes.record_send(prefix_key, upstream.id, now)
         return attempt
 
     def record_peer_prompt(
-        self, upstream: Upstream, uncached_tokens: int, key: str, now: float
+        self, upstream: Upstream, uncached_tokens: int, prefix_key: str, now: float
     ) -> None:
         """Record that a peer sends a prompt to an upstream."""
         seconds = self.prefill_times(upstream.service).estimate_seconds(uncached_tokens)
         self.get(upstream).prefill_queue.add(now, seconds)
-        self.cached_prefixes.record_send(key, upstream.id, now)
+        self.cached_prefixes.record_send(prefix_key, upstream.id, now)
 
     def discard_missing(self, present_ids: Collection[str]) -> None:
         """Remove the states of upstreams that are not listed, unless requests are in progress."""
-        for key in [key for key in self._by_id if key not in present_ids]:
-            if self._by_id[key].in_flight <= 0:
-                del self._by_id[key]
-                self.rate_limited_ids.discard(key)
-                self.cached_prefixes.remove_upstream(key)
+        for upstream_id in [
+            upstream_id for upstream_id in self._by_id if upstream_id not in present_ids
+        ]:
+            if self._by_id[upstream_id].in_flight <= 0:
+                del self._by_id[upstream_id]
+                self.rate_limited_ids.discard(upstream_id)
+                self.cached_prefixes.remove_upstream(upstream_id)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/exchanges.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/exchanges.py
@@ -102,7 +102,7 @@
                 await self._send_events(stream, head, events)
         if stream.buffer.pending:
             raise ConnectionBrokenError("stream ended within an event", step="events")
-        if not stream.begun:
+        if not stream.head_sent:
             await self._send_events(stream, head, b"")
         attempt.record_success()
         self._metrics.record_stream(progress.workspace_name, progress.route, stream.pace)
@@ -111,8 +111,8 @@
     @staticmethod
     async def _send_events(stream: CallerStream, head: AnswerHead, events: bytes) -> None:
         """Send events to the caller, after the head of the first upstream."""
-        if not stream.begun:
-            stream.begun = True
+        if not stream.head_sent:
+            stream.head_sent = True
             await stream.send_head(head)
         if events:
             await stream.send_events(events)
@@ -120,7 +120,7 @@
     @staticmethod
     def _max_event_gap_seconds(progress: Progress) -> float | None:
         """Return how long the stream may pause; without limit where it can't be resumed."""
-        if progress.stream.begun and progress.route.resumable:
+        if progress.stream.head_sent and progress.route.resumable:
             return MAX_EVENT_GAP_SECONDS
         return None
 
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/calls.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/calls.py
@@ -74,14 +74,16 @@
         reply = self._replies_by_number[number] = asyncio.get_running_loop().create_future()
         call = Call(number, kind, msgspec.Raw(body))
         ends_at = self._clock.monotonic() + timeout_seconds
-        pause = FIRST_RESEND_SECONDS
+        resend_seconds = FIRST_RESEND_SECONDS
         try:
             while (remaining_seconds := ends_at - self._clock.monotonic()) > 0:
                 self._port.send(call, [address])
-                done, _ = await asyncio.wait((reply,), timeout=min(pause, remaining_seconds))
+                done, _ = await asyncio.wait(
+                    (reply,), timeout=min(resend_seconds, remaining_seconds)
+                )
                 if done:
                     return reply.result()
-                pause *= 2
+                resend_seconds *= 2
         finally:
             del self._replies_by_number[number]
         raise CallTimeoutError(f"no answer within {timeout_seconds} s")
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/gossip.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/gossip.py
@@ -76,7 +76,7 @@
         self.liveness = Liveness()
         self._copies: CopyReplicator | None = None
         self._crashes: CrashMonitor | None = None
-        self._remaining_peers: list[str] = []
+        self._remaining_incarnations: list[str] = []
         self._suspects: set[str] = set()
         self._next_at = 0.0
         self._sent_at = float("-inf")
@@ -104,16 +104,16 @@
         more_recent = (
             self._oldest_asked_at() - self._sent_copies_asked_at > MIN_FRESHNESS_GAIN_SECONDS
         )
-        changed_now = content_changed and since_sent > CONTENT_PAUSE_SECONDS
-        recent_now = more_recent and since_sent > FRESHNESS_PAUSE_SECONDS
-        if changed_now:
-            self._send(CONTENT_FANOUT)
-        elif recent_now:
-            self._send(FANOUT)
+        send_changed = content_changed and since_sent > CONTENT_PAUSE_SECONDS
+        send_fresher = more_recent and since_sent > FRESHNESS_PAUSE_SECONDS
+        if send_changed:
+            self._send_digest(CONTENT_FANOUT)
+        elif send_fresher:
+            self._send_digest(FANOUT)
 
     def announce_leaving(self) -> None:
         """Notify many peers at once that this gateway is about to stop."""
-        self._send(LEAVING_FANOUT)
+        self._send_digest(LEAVING_FANOUT)
 
     def handle_digest(self, digest: Digest, sender: object) -> None:
         """Merge a peer's digest."""
@@ -134,7 +134,7 @@
             self._crashes.add_quarantined(digest.quarantined_seconds_by_content, peer.vm)
         is_outdated = self._copies and self._copies.compare(peer, digest.summaries_by_kind, now)
         if is_outdated or digest.reply_requested:
-            self._reply(peer, now)
+            self._send_reply(peer, now)
 
     def update_reachability(self) -> None:
         """Update which members are unreachable, and whether this gateway is a designated reader."""
@@ -169,18 +169,18 @@
         while True:
             self.update_reachability()
             if self._clock.monotonic() >= self._next_at:
-                self._send(FANOUT)
+                self._send_digest(FANOUT)
                 self._probe_suspects()
             await self._clock.sleep(max(0.0, self._next_at - self._clock.monotonic()))
 
-    def _send(self, fanout: int) -> None:
+    def _send_digest(self, fanout: int) -> None:
         """Send a digest to some peers."""
         self._handle_suspension()
         now = self._clock.monotonic()
         spread = 1 + PERIOD_SPREAD * (self._random.random() - 0.5)
         self._next_at = now + PERIOD_SECONDS * spread
         self._sent_at, self._sent_copies_asked_at = now, self._oldest_asked_at()
-        chosen = self._choose(fanout)
+        chosen = self._choose_peers(fanout)
         self._port.send(self._build_digest(now), [member.peer_address for member in chosen])
 
     def _probe_suspects(self) -> None:
@@ -197,7 +197,7 @@
                 self._build_digest(self._clock.monotonic(), reply_requested=True), addresses
             )
 
-    def _reply(self, peer: Member, now: float) -> None:
+    def _send_reply(self, peer: Member, now: float) -> None:
         """Send a digest to a peer whose copies are out of date or that requested one."""
         if now - self._replied_at_by_vm.get(peer.vm, float("-inf")) < REPLY_PAUSE_SECONDS:
             return
@@ -211,7 +211,7 @@
         if board.phase is Phase.DRAINING:
             leaving.append(incarnation_checksum(board.own.incarnation))
         summaries = self._copies.summaries(now) if self._copies else {}
-        held = self._quarantine_entries()
+        quarantined = self._quarantine_entries()
         return Digest(
             DIGEST_FORMAT,
             board.own,
@@ -219,33 +219,35 @@
             leaving,
             summaries,
             reply_requested,
-            held,
+            quarantined,
         )
 
     def _quarantine_entries(self) -> dict[str, int]:
         """Return the quarantined contents, a random sample if there are many."""
-        held = self._crashes.quarantined_seconds() if self._crashes else {}
-        if len(held) <= MAX_QUARANTINE_ENTRIES:
-            return held
-        return dict(self._random.sample(sorted(held.items()), MAX_QUARANTINE_ENTRIES))
+        quarantined = self._crashes.quarantined_seconds() if self._crashes else {}
+        if len(quarantined) <= MAX_QUARANTINE_ENTRIES:
+            return quarantined
+        return dict(self._random.sample(sorted(quarantined.items()), MAX_QUARANTINE_ENTRIES))
 
     def _send_quarantine(self) -> None:
         """Send a digest at once after a change of the quarantine."""
-        self._send(FANOUT)
+        self._send_digest(FANOUT)
 
-    def _choose(self, fanout: int) -> list[Member]:
+    def _choose_peers(self, fanout: int) -> list[Member]:
         """Return the next peers, in a random order that includes all before it repeats one."""
         board = self._blackboard
-        usable_by_key = {
+        usable_by_incarnation = {
             peer.incarnation: peer
             for peer in board.usable_peers()
             if peer.incarnation not in self._suspects
         }
         chosen: list[Member] = []
-        while len(chosen) < min(fanout, len(usable_by_key)):
-            if not self._remaining_peers:
-                self._remaining_peers = self._random.sample(list(usable_by_key), len(usable_by_key))
-            peer = usable_by_key.get(self._remaining_peers.pop())
+        while len(chosen) < min(fanout, len(usable_by_incarnation)):
+            if not self._remaining_incarnations:
+                self._remaining_incarnations = self._random.sample(
+                    list(usable_by_incarnation), len(usable_by_incarnation)
+                )
+            peer = usable_by_incarnation.get(self._remaining_incarnations.pop())
             if peer is not None and peer not in chosen:
                 chosen.append(peer)
         if board.unreachable and self._random.random() < UNREACHABLE_SHARE * fanout:
@@ -293,8 +295,11 @@
 
     def _handle_suspension(self) -> None:
         """Age the copies and reset the liveness after a suspension of the machine."""
-        total = self._total_suspended_seconds()
-        seconds, self._last_suspended_seconds = total - self._last_suspended_seconds, total
+        total_seconds = self._total_suspended_seconds()
+        seconds, self._last_suspended_seconds = (
+            total_seconds - self._last_suspended_seconds,
+            total_seconds,
+        )
         if seconds < MIN_SUSPENSION_SECONDS:
             return
         log.change("gateway.suspended", seconds=round(seconds, 3))
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/liveness.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/liveness.py
@@ -58,12 +58,12 @@
         for checksum in checksums:
             self._tracked_at_by_checksum.setdefault(checksum, now)
 
-    def record_seen(self, checksum: IncarnationChecksum, at: float) -> None:
+    def record_seen(self, checksum: IncarnationChecksum, seen_at: float) -> None:
         """Record a message of a member; an older one has no effect."""
-        if checksum in self._tracked_at_by_checksum and at > self._seen_at_by_checksum.get(
+        if checksum in self._tracked_at_by_checksum and seen_at > self._seen_at_by_checksum.get(
             checksum, -math.inf
         ):
-            self._seen_at_by_checksum[checksum] = at
+            self._seen_at_by_checksum[checksum] = seen_at
 
     def merge(self, ages_by_checksum: Mapping[IncarnationChecksum, int], now: float) -> None:
         """Merge the observations of another gateway; unknown members are ignored.
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/progress.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/progress.py
@@ -21,7 +21,7 @@
     send_events: SendBytes
     buffer: EventBuffer
     pace: StreamPace
-    begun: bool = False
+    head_sent: bool = False
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
     route: Route
     service: str
     workspace: Workspace | None
-    ends_at: float
+    deadline_at: float
     stream: CallerStream
     demand: Demand
     tried_upstream_ids: list[str] = field(default_factory=list)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/relay.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/relay.py
@@ -48,10 +48,10 @@
 class Relay:
     """Attempts requests at upstreams.
 
-    :param teller: tells peers of prompts that keep an engine busy.
+    :param send_notifier: tells peers of prompts that keep an engine busy.
     :param retry_budget: returns the retry budget of a service.
     :param crashes: is told of connections that upstreams closed, and knows what must not run.
-    :param choice: chooses the upstream of each attempt.
+    :param selector: chooses the upstream of each attempt.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
 
     def _answer_unrepeatable(self, progress: Progress) -> Refusal:
         """Return the answer to a request that may have run and must not run again."""
-        if self._clock.monotonic() >= progress.ends_at:
+        if self._clock.monotonic() >= progress.deadline_at:
             return self._answer_timed_out(progress)
         return Refusal(Reason.OUTCOME_UNKNOWN, progress.last_detail)
 
@@ -121,7 +121,7 @@
             if answer is not None:
                 return answer
             placement = self._selector.select_preferred(progress)
-            if placement is None and not self._selector.has_usable(progress):
+            if placement is None and not self._selector.has_usable_upstream(progress):
                 return self._answer_given_up(progress)
             if progress.delivered_sends and not self._acquire_retry(progress):
                 return self._answer_given_up(progress)
@@ -135,20 +135,20 @@
 
     def _final_answer(self, progress: Progress) -> Refusal | WholeAnswer | None:
         """Return the final answer if the request may not be sent any more, else None."""
-        if self._clock.monotonic() >= progress.ends_at:
+        if self._clock.monotonic() >= progress.deadline_at:
             return self._answer_timed_out(progress)
         # Others may have found out what the request does while it waited for its turn.
         held_seconds = self._crashes.quarantine_seconds(progress)
         if held_seconds:
             return self._answer_quarantined(progress, held_seconds)
         # What reached another upstream than the chosen one was no attempt at the service.
-        if progress.delivered_sends - progress.misdirected >= progress.route.attempts:
+        if progress.delivered_sends - progress.misdirected >= progress.route.max_attempts:
             return self._answer_given_up(progress)
         return None
 
     def _max_permit_wait_seconds(self, progress: Progress) -> float:
         """Return how long a request may wait for a permit."""
-        remaining = progress.ends_at - self._clock.monotonic()
+        remaining = progress.deadline_at - self._clock.monotonic()
         wait = MAX_PERMIT_WAIT_OBJECTIVES * progress.route.objective_seconds
         return max(0.0, min(wait, MAX_WAIT_SHARE * remaining))
 
@@ -208,16 +208,16 @@
         if (
             head.status < FIRST_SERVER_ERROR_STATUS
             or not progress.route.retryable
-            or progress.stream.begun
+            or progress.stream.head_sent
         ):
             return False
         progress.delivered_sends += 1
-        return progress.delivered_sends < progress.route.attempts
+        return progress.delivered_sends < progress.route.max_attempts
 
     async def _attempt(self, progress: Progress, placement: Placement) -> AttemptOutcome:
         """Send the request to one upstream."""
         upstream = placement.upstream
-        remaining = progress.ends_at - self._clock.monotonic()
+        remaining = progress.deadline_at - self._clock.monotonic()
         headers = self._dialect.upstream_headers(
             progress.call,
             upstream,
@@ -285,9 +285,9 @@
 
     def _first_byte_timeout_seconds(self, progress: Progress) -> float:
         """Return how long an upstream may take until its first byte."""
-        if progress.stream.begun:
+        if progress.stream.head_sent:
             return MAX_EVENT_GAP_SECONDS
-        remaining = progress.ends_at - self._clock.monotonic()
+        remaining = progress.deadline_at - self._clock.monotonic()
         first_byte_timeout = FIRST_BYTE_TIMEOUT_OBJECTIVES * progress.route.objective_seconds
         return min(first_byte_timeout, MAX_WAIT_SHARE * remaining)
 
@@ -296,7 +296,7 @@
         route = progress.route
         if (
             not route.retryable
-            or progress.delivered_sends - progress.misdirected + 1 >= route.attempts
+            or progress.delivered_sends - progress.misdirected + 1 >= route.max_attempts
         ):
             return False
         return self._selector.select_unlimited(progress) is not None
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/sends.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/sends.py
@@ -38,13 +38,13 @@
         upstream_states: UpstreamStates,
         port: DatagramPort,
         clock: Clock,
-        source: random.Random,
+        random_source: random.Random,
     ) -> None:
         self._blackboard = blackboard
         self._upstream_states = upstream_states
         self._port = port
         self._clock = clock
-        self._random = source
+        self._random = random_source
         port.add_handler(SentPrompt, self.handle_notice)
 
     def notify_peers(self, placement: Placement, demand: Demand) -> None:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/signals.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/signals.py
@@ -59,7 +59,7 @@
         self._metrics = metrics
         port.add_handler(RateLimitNotice, self._handle_rate_limit_notice)
         port.add_handler(LeavingNotice, self._handle_leaving_notice)
-        metrics.observe_rate_limits(self._limited_upstreams)
+        metrics.observe_rate_limits(self._count_rate_limited)
 
     def request_sent(self, upstream: Upstream) -> None:
         """Count a request if the upstream limits its request rate."""
@@ -150,7 +150,7 @@
         self._update_rate_limit(upstream, notice.rate, str(sender))
         self._upstream_states.get(upstream).notified_rate = notice.rate
 
-    def _limited_upstreams(self) -> int:
+    def _count_rate_limited(self) -> int:
         """Return how many upstreams limit their request rate."""
         upstreams = self._blackboard.upstreams_by_id.values()
         limits = [self._upstream_states.get(upstream).rate_limit for upstream in upstreams]
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_choice.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_choice.py
@@ -55,7 +55,7 @@
         candidates = [item for item in self._candidates(progress) if not self._permits.needed(item)]
         return self._place(progress, candidates)
 
-    def has_usable(self, progress: Progress) -> bool:
+    def has_usable_upstream(self, progress: Progress) -> bool:
         """Return whether any upstream can serve the request, now or once a permit is available."""
         return self._place(progress, self._candidates(progress)) is not None
 
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
@@ -148,8 +148,10 @@
             next_expiry = None if self._absences.is_failing else self._absences.next_expiry
             if next_expiry is not None and next_expiry <= now:
                 self._publish(board.upstreams_revision, board.upstreams_read_at, now)
-            left = pause if next_expiry is None else max(MIN_PAUSE_SECONDS, next_expiry - now)
-            await self._clock.sleep(min(pause, left))
+            remaining_seconds = (
+                pause if next_expiry is None else max(MIN_PAUSE_SECONDS, next_expiry - now)
+            )
+            await self._clock.sleep(min(pause, remaining_seconds))
 
     async def _read(self, asked_at: float) -> None:
         """Read the list."""
@@ -176,36 +178,40 @@
     def _publish(self, revision: int, asked_at: float | None, now: float) -> None:
         """Write the upstreams that may be used to the blackboard."""
         board = self._blackboard
-        kept = self._absences.retained(now)
+        retained = self._absences.retained(now)
         listed = self._absences.listed_by_id
-        self._content = _checksum(listed.values(), kept)
-        self._record_absences(kept, now)
-        by_id = {**listed, **kept}
+        self._content = _checksum(listed.values(), retained)
+        self._record_absences(retained, now)
+        by_id = {**listed, **retained}
         self._log_changes(board.upstreams_by_id, by_id)
         board.upstreams_revision = revision
         board.upstreams_read_at = asked_at
         board.upstreams_by_id = by_id
 
-    def _record_absences(self, kept: dict[str, Upstream], now: float) -> None:
+    def _record_absences(self, retained: dict[str, Upstream], now: float) -> None:
         """Record since when upstreams are used although the list lacks them, and log new ones."""
         since = self._blackboard.missing_since_by_upstream
-        for key in kept.keys() - since.keys():
-            log.change("upstream.kept", upstream=key)
-        self._blackboard.missing_since_by_upstream = {key: since.get(key, now) for key in kept}
+        for upstream_id in retained.keys() - since.keys():
+            log.change("upstream.kept", upstream=upstream_id)
+        self._blackboard.missing_since_by_upstream = {
+            upstream_id: since.get(upstream_id, now) for upstream_id in retained
+        }
 
     def _log_changes(self, before: dict[str, Upstream], now: dict[str, Upstream]) -> None:
         """Log upstreams that were added or removed, or that started draining."""
-        for key, item in now.items():
-            previous = before.get(key)
+        for upstream_id, item in now.items():
+            previous = before.get(upstream_id)
             if previous is None:
-                log.change("upstream.added", upstream=key, service=item.service, addr=item.address)
+                log.change(
+                    "upstream.added", upstream=upstream_id, service=item.service, addr=item.address
+                )
             elif item.draining and not previous.draining:
-                log.change("upstream.draining", upstream=key)
-        for key in before.keys() - now.keys():
-            log.change("upstream.removed", upstream=key)
+                log.change("upstream.draining", upstream=upstream_id)
+        for upstream_id in before.keys() - now.keys():
+            log.change("upstream.removed", upstream=upstream_id)
 
 
-def _checksum(listed: Iterable[Upstream], kept: Iterable[str]) -> int:
+def _checksum(listed: Iterable[Upstream], retained: Iterable[str]) -> int:
     """Return a checksum of the listed upstreams and the identifiers of missing ones in use."""
     items = sorted(listed, key=lambda upstream: upstream.id)
-    return zlib.crc32(msgspec.json.encode([items, sorted(kept)]))
+    return zlib.crc32(msgspec.json.encode([items, sorted(retained)]))
