--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/prefill.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/prefill.py
@@ -13,7 +13,7 @@
 """Assumed prefill time until the first samples, between the 40,000 and 140,000 tokens a second of
 real engines."""
 MIN_BUCKET_TOKENS = 512
-"""Prompts below this size yield samples of the base time, which a first event takes besides
+"""Prompts below this size yield samples of the base time: the time to a first event without
 prefill."""
 BUCKET_COUNT = 9
 """Number of size classes. Each begins at twice the size of the one before, the last at 65,536
@@ -84,7 +84,7 @@
 
     @property
     def base_seconds(self) -> float:
-        """Return the time that a first event takes besides prefill; zero before it is known."""
+        """Return the time to a first event without prefill; zero before it is known."""
         return self._base_seconds or 0.0
 
     def record_sample(self, tokens: int, seconds: float) -> None:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/rate_limits.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/decisions/rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits that upstreams announce, and the spacing of requests that keeps to them.
+"""Rate limits that upstreams announce, and the spacing of requests that observes them.
 
 A limit applies to all gateways together and can be lower than their number, such as one request a
 second for nine or two hundred gateways. If each gateway had an equal share, all could send at the
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/datagrams.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/datagrams.py
@@ -1,6 +1,6 @@
 """Datagrams between gateways: one socket, with a handler for each type of message.
 
-A lost datagram only makes a decision later or less exact, so none is acknowledged or resent.
+A lost datagram only makes a decision later or less exact, so none is acknowledged or resent here.
 """
 
 import asyncio
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/sends.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/sends.py
@@ -67,7 +67,9 @@
             return
         if not 0 < notice.uncached_tokens <= MAX_PROMPT_TOKENS:
             log.failure(
-                "sends.malformed", peer=str(sender), error=f"{notice.uncached_tokens} tokens"
+                "sends.malformed",
+                peer=str(sender),
+                error=f"{notice.uncached_tokens} tokens are out of range",
             )
             return
         now = self._clock.monotonic()
