--- a/packages/quinceferry-gateway/src/quinceferry_gateway/allotment_targets.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/allotment_targets.py
@@ -82,7 +82,9 @@
         ):
             return drawable - budget.spent
         holders = [
-            key for key in budget.allotments_by_holder if not self._blackboard.has_terminated(key)
+            holder
+            for holder in budget.allotments_by_holder
+            if not self._blackboard.has_terminated(holder)
         ]
         return remaining_tokens(budget, drawable, holders)
 
@@ -98,21 +100,25 @@
         undrawn = budget.undrawn(drawable)
         return self._policy.is_write_due(account.available, unreported, allowance, undrawn)
 
-    def update(self, workspace: str, account: Account, holder_count: int, requested: int) -> int:
+    def update(
+        self, workspace: str, account: Account, holder_count: int, requested_tokens: int
+    ) -> int:
         """Update the allotment in the record in memory.
 
         :param holder_count: number of holders that share the tokens, zero if this gateway is not
             one of them.
-        :param requested: tokens that waiting requests need.
+        :param requested_tokens: tokens that waiting requests need.
         :return: the tokens drawn once the record is written.
         """
         budget = self._shared_budgets.budget(workspace)
         drawable = self.drawable_tokens(workspace)
         allowance = self._allowance(workspace, holder_count)
         budget.tokens_per_second = self._rates.tokens_per_second(workspace)
-        own = self._blackboard.own.incarnation
+        own_incarnation = self._blackboard.own.incarnation
         undrawn = budget.undrawn(drawable)
-        return update_allotment(budget, own, account, undrawn, allowance, requested)
+        return update_allotment(
+            budget, own_incarnation, account, undrawn, allowance, requested_tokens
+        )
 
     def _allowance(self, workspace: str, holder_count: int) -> Allowance:
         """Return the limits of this gateway in a workspace."""
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/application.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/application.py
@@ -99,12 +99,17 @@
         self.upstream_states = upstream_states = UpstreamStates()
         send_notifier = SendNotifier(board, upstream_states, port, clock, rng)
         heartbeat_seconds = settings.store.heartbeat_milliseconds / 1000
-        bounds = settings.freshness
+        freshness_settings = settings.freshness
         configuration = ConfigurationReader(
-            board, source, clock, rng, bounds.configuration_milliseconds / 1000
+            board, source, clock, rng, freshness_settings.configuration_milliseconds / 1000
         )
         upstreams = UpstreamReader(
-            board, source, clock, heartbeat_seconds, rng, bounds.leaving_milliseconds / 1000
+            board,
+            source,
+            clock,
+            heartbeat_seconds,
+            rng,
+            freshness_settings.leaving_milliseconds / 1000,
         )
         members = MemberReader(board, snapshots, clock, rng, self._registration.registered)
         self._gossip = Gossip(board, members, port, clock, rng, suspended_seconds)
@@ -157,7 +162,9 @@
             clock,
             random.Random(),
             crashes,
-            ConfigurationFreshness(board, copies, clock, bounds.configuration_milliseconds / 1000),
+            ConfigurationFreshness(
+                board, copies, clock, freshness_settings.configuration_milliseconds / 1000
+            ),
         )
         self._caller_listener = HttpListener(
             self.caller_api, settings.listen.callers, PEER_IDLE_TIMEOUT_SECONDS * 3
@@ -172,7 +179,7 @@
     async def run(self, stop_requested: asyncio.Event) -> None:
         """Serve until a stop is requested, then shut down gracefully."""
         await self._start()
-        housekeeping = asyncio.create_task(self._keep_up_to_date())
+        housekeeping = asyncio.create_task(self._run_housekeeping())
         await stop_requested.wait()
         await self._stop()
         housekeeping.cancel()
@@ -197,14 +204,14 @@
         await self._registration.withdraw()
         await self._clock.sleep(self.settings.stop.leave_seconds)
         self.caller_api.close_connections()
-        returning = asyncio.create_task(self._return_tokens())
+        return_task = asyncio.create_task(self._return_tokens())
         while self.caller_api.in_progress:
             if self._clock.monotonic() > ends_at - CLOSE_RESERVE_SECONDS:
                 break
             await self._clock.sleep(DRAIN_CHECK_INTERVAL_SECONDS)
         await self._caller_listener.stop()
         await self.reservations.flush()
-        await returning
+        await return_task
         for controller in self._controllers:
             await controller.stop()
         for listener in self._other_listeners:
@@ -241,7 +248,7 @@
         peers = self.blackboard.usable_peers()
         return sorted(peers, key=lambda peer: peer.vm not in vms)
 
-    async def _keep_up_to_date(self) -> None:
+    async def _run_housekeeping(self) -> None:
         """Periodically apply the configured idle timeout and forget removed upstreams."""
         while True:
             configuration = self.blackboard.configuration
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/budgets.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/budgets.py
@@ -181,8 +181,8 @@
         if not tokens_per_second:
             return int(full_share)
         lasting_seconds = max(0, remaining) / tokens_per_second
-        reduced = full_share * lasting_seconds / self.ample_seconds
-        return int(min(full_share, max(reduced, self.min_seconds * tokens_per_second)))
+        reduced_share = full_share * lasting_seconds / self.ample_seconds
+        return int(min(full_share, max(reduced_share, self.min_seconds * tokens_per_second)))
 
     def allowance(self, target_tokens: int, holders: int, idle_elsewhere: int) -> Allowance:
         """Return the limits for one holder.
@@ -210,12 +210,12 @@
 
 def remaining_tokens(budget: WorkspaceBudget, drawable: int, holders: Collection[str]) -> int:
     """Return the undrawn tokens and those that the given holders hold."""
-    held = sum(
+    held_tokens = sum(
         entry.outstanding
         for holder, entry in budget.allotments_by_holder.items()
         if holder in holders
     )
-    return max(0, budget.undrawn(drawable)) + held
+    return max(0, budget.undrawn(drawable)) + held_tokens
 
 
 def idle_tokens(budget: WorkspaceBudget, holders: Collection[str]) -> int:
@@ -230,14 +230,14 @@
     account: Account,
     undrawn: int,
     allowance: Allowance,
-    requested: int = 0,
+    requested_tokens: int = 0,
 ) -> int:
     """Report a holder's spending in the record; draw up to its target or return its surplus.
 
     Returned tokens leave the account immediately, before the record is written.
 
     :param undrawn: tokens that no holder has drawn.
-    :param requested: tokens that waiting requests need, which may exceed the allowance.
+    :param requested_tokens: tokens that waiting requests need, which may exceed the allowance.
     :return: the tokens drawn by the holder once the record is written.
     """
     entry = budget.allotments_by_holder.setdefault(holder, HolderAllotment())
@@ -247,8 +247,8 @@
     entry.reported = account.spent
     entry.reserved = account.reserved
     available = entry.drawn - account.spent - account.reserved
-    missing = max(allowance.target, requested) - available
-    surplus = available - max(allowance.equal_share, requested)
+    missing = max(allowance.target, requested_tokens) - available
+    surplus = available - max(allowance.equal_share, requested_tokens)
     entry.drawn += min(max(0, undrawn), max(0, missing)) - max(0, surplus)
     account.drawn = min(account.drawn, entry.drawn - account.inherited)
     return entry.drawn
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/caller_exchange.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/caller_exchange.py
@@ -13,16 +13,16 @@
 class CallerExchange:
     """One request on a caller's connection, and its answer.
 
-    :param closing: returns whether to close the connection after the answer.
+    :param is_closing: returns whether to close the connection after the answer.
     """
 
     def __init__(
-        self, scope: Scope, receive: Receive, send: Send, closing: Callable[[], bool]
+        self, scope: Scope, receive: Receive, send: Send, is_closing: Callable[[], bool]
     ) -> None:
         self.scope = scope
         self._receive = receive
         self._send = send
-        self._closing = closing
+        self._is_closing = is_closing
 
     async def read_body(self, limits: CallerLimits) -> bytes:
         """Read and return the whole body.
@@ -57,7 +57,7 @@
         await self._start(status, [*headers, length])
         await self._send({"type": "http.response.body", "body": body})
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def send_head(self, head: AnswerHead) -> None:
         """Send the status line and headers of an answer of unknown length."""
         await self._start(head.status, head.headers)
 
@@ -71,7 +71,11 @@
 
     async def _start(self, status: int, headers: Headers) -> None:
         """Send a status line and headers, and announce the close of the connection if it is due."""
-        ending = [(b"connection", b"close")] if self._closing() else []
+        connection_headers = [(b"connection", b"close")] if self._is_closing() else []
         await self._send(
-            {"type": "http.response.start", "status": status, "headers": [*headers, *ending]}
+            {
+                "type": "http.response.start",
+                "status": status,
+                "headers": [*headers, *connection_headers],
+            }
         )
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/callers.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/callers.py
@@ -61,16 +61,16 @@
         self._metrics = metrics
         self._clock = clock
         self._rng = rng
-        self._closing = False
+        self._is_closing = False
         self.in_progress = 0
 
     def close_connections(self) -> None:
         """Close each connection after its next answer."""
-        self._closing = True
+        self._is_closing = True
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
-        exchange = CallerExchange(scope, receive, send, lambda: self._closing)
+        exchange = CallerExchange(scope, receive, send, lambda: self._is_closing)
         self.in_progress += 1
         try:
             await self._serve(exchange)
@@ -168,7 +168,10 @@
         if call.timeout_seconds is not None:
             timeout = min(timeout, call.timeout_seconds)
         stream = CallerStream(
-            exchange.begin, exchange.send, EventBuffer(call.resume_after), StreamPace(started_at)
+            exchange.send_head,
+            exchange.send,
+            EventBuffer(call.resume_after),
+            StreamPace(started_at),
         )
         demand = Demand.from_call(call, route.max_pause_seconds)
         service = self._draw_service(route)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/events.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/events.py
@@ -43,10 +43,10 @@
         data = self._pending + chunk
         end = _end_of_last_event(data)
         self._pending = data[end:]
-        whole = data[:end]
-        if whole:
-            self._count_events(whole)
-        return whole
+        complete_events = data[:end]
+        if complete_events:
+            self._count_events(complete_events)
+        return complete_events
 
     def restart(self) -> None:
         """Discard the incomplete event of an interrupted stream."""
@@ -57,9 +57,9 @@
         """Return the bytes after the last whole event."""
         return self._pending
 
-    def _count_events(self, whole: bytes) -> None:
+    def _count_events(self, complete_events: bytes) -> None:
         """Count events and remember the identifier of the last one."""
-        for line in whole.replace(b"\r\n", b"\n").split(b"\n"):
+        for line in complete_events.replace(b"\r\n", b"\n").split(b"\n"):
             if line.startswith(b"id:"):
                 self.last_id = line[3:].strip().decode("latin-1")
                 self.count += 1
@@ -67,6 +67,9 @@
 
 def _end_of_last_event(data: bytes) -> int:
     """Return the position after the last blank line, or zero."""
-    plain = data.rfind(_END)
-    crlf = data.rfind(_END_CRLF)
-    return max(plain + len(_END) if plain >= 0 else 0, crlf + len(_END_CRLF) if crlf >= 0 else 0)
+    lf_position = data.rfind(_END)
+    crlf_position = data.rfind(_END_CRLF)
+    return max(
+        lf_position + len(_END) if lf_position >= 0 else 0,
+        crlf_position + len(_END_CRLF) if crlf_position >= 0 else 0,
+    )
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/holder.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/holder.py
@@ -80,7 +80,7 @@
         self._closed = False
         self._rng = rng
         self._role = HolderRole(blackboard, clock, settings, self._rng)
-        self._drawing = asyncio.Lock()
+        self._draw_lock = asyncio.Lock()
         self._shared_draw = SharedDraw(
             lambda: self.spawn(self._draw_for_requests(), "draw for requests")
         )
@@ -93,7 +93,7 @@
 
     async def start(self) -> None:
         """Start drawing."""
-        self._role.begin()
+        self._role.record_start()
         self.spawn(self._keep_allotments(), "allotments")
 
     def available_by_workspace(self) -> dict[str, int]:
@@ -143,9 +143,11 @@
 
     async def _draw_for_requests(self) -> None:
         """Draw the tokens that requests wait for, even beyond this holder's allowance."""
-        pause = self._last_write_at + MIN_REQUESTED_DRAW_INTERVAL_SECONDS - self._clock.monotonic()
-        await self._clock.sleep(max(0.0, pause))
-        async with self._drawing:
+        pause_seconds = (
+            self._last_write_at + MIN_REQUESTED_DRAW_INTERVAL_SECONDS - self._clock.monotonic()
+        )
+        await self._clock.sleep(max(0.0, pause_seconds))
+        async with self._draw_lock:
             if not self._closed:
                 await self._draw()
 
@@ -182,7 +184,7 @@
         self._closed = True
         await self.stop()
         # Wait for a draw that a request has just started: it would change the record in between.
-        async with self._drawing:
+        async with self._draw_lock:
             for _ in range(MAX_RETURN_ATTEMPTS):
                 try:
                     await self._shared_budgets.read()
@@ -235,7 +237,7 @@
         """Keep the allotments close to their targets until cancelled."""
         while True:
             if self._is_write_due():
-                async with self._drawing:
+                async with self._draw_lock:
                     await self._draw()
             elif self._should_reread():
                 await self._reread()
@@ -276,7 +278,7 @@
 
     async def _reread(self) -> None:
         """Read the record without writing it."""
-        async with self._drawing:
+        async with self._draw_lock:
             try:
                 await self._read()
             except KvError as error:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/holder_role.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/holder_role.py
@@ -57,7 +57,7 @@
         self._started_at = clock.monotonic()
         self._members_were_stable = False
 
-    def begin(self) -> None:
+    def record_start(self) -> None:
         """Record that the gateway starts now."""
         self._started_at = self._clock.monotonic()
 
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/logs.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/logs.py
@@ -37,30 +37,32 @@
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
         self._unwritten = b""
-        self._success_left = SUCCESS_LINES_PER_SECOND
-        self._failure_left = FAILURE_LINES_PER_SECOND
+        self._remaining_success_lines = SUCCESS_LINES_PER_SECOND
+        self._remaining_failure_lines = FAILURE_LINES_PER_SECOND
         self._dropped = 0
 
-    def reserve_line(self, failure: bool) -> bool:
+    def try_acquire_line(self, failure: bool) -> bool:
         """Return whether to write one more line in this second; count it as dropped if not."""
-        left = self._failure_left if failure else self._success_left
-        if left <= 0 or len(self._lines) >= MAX_BUFFERED_LINES:
+        remaining_lines = (
+            self._remaining_failure_lines if failure else self._remaining_success_lines
+        )
+        if remaining_lines <= 0 or len(self._lines) >= MAX_BUFFERED_LINES:
             self._dropped += 1
             return False
         if failure:
-            self._failure_left -= 1
+            self._remaining_failure_lines -= 1
         else:
-            self._success_left -= 1
+            self._remaining_success_lines -= 1
         return True
 
     def add(self, line: str) -> None:
         """Append a line."""
         self._lines.append(line.encode() + b"\n")
 
-    def start_second(self) -> int:
+    def reset_limits(self) -> int:
         """Reset the rate limits for a new second; return the lines dropped in the last one."""
-        self._success_left = SUCCESS_LINES_PER_SECOND
-        self._failure_left = FAILURE_LINES_PER_SECOND
+        self._remaining_success_lines = SUCCESS_LINES_PER_SECOND
+        self._remaining_failure_lines = FAILURE_LINES_PER_SECOND
         dropped, self._dropped = self._dropped, 0
         return dropped
 
@@ -96,7 +98,7 @@
 
     def __init__(self) -> None:
         self._buffer: LogBuffer | None = None
-        self._writer: Any = None
+        self._logger: Any = None
         self._has_new_lines = asyncio.Event()
 
     def configure(self, descriptor: int, **identity: str) -> None:
@@ -116,7 +118,7 @@
             logger_factory=lambda *_: _BufferLogger(self._buffer),
             cache_logger_on_first_use=False,
         )
-        self._writer = structlog.get_logger().bind(**identity)
+        self._logger = structlog.get_logger().bind(**identity)
 
     def success(self, event: str, **fields: Any) -> None:
         """Log a success; dropped first above the rate limit."""
@@ -148,7 +150,7 @@
 
     def reset_dropped_count(self) -> int:
         """Reset the rate limits for a new second; return the lines dropped in the last one."""
-        return self._buffer.start_second() if self._buffer is not None else 0
+        return self._buffer.reset_limits() if self._buffer is not None else 0
 
     def _report_dropped(self) -> None:
         """Log the number of lines dropped in the last second, if any."""
@@ -159,8 +161,8 @@
     def _write(self, event: str, failure: bool, fields: dict[str, Any]) -> None:
         """Buffer a line unless the rate limit is exceeded."""
         self._has_new_lines.set()
-        if self._buffer is not None and self._buffer.reserve_line(failure):
-            self._writer.info(event, **fields)
+        if self._buffer is not None and self._buffer.try_acquire_line(failure):
+            self._logger.info(event, **fields)
 
 
 class _BufferLogger:
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/membership.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/membership.py
@@ -191,7 +191,7 @@
         """
         copy = msgspec.msgpack.decode(unpack(body), type=MembersCopy)
         if copy.age_seconds >= 0 and copy.revision > self._revision:
-            self._accept(copy.members, copy.revision, now - copy.age_seconds)
+            self._adopt_list(copy.members, copy.revision, now - copy.age_seconds)
 
     def _reachable_elsewhere(self, vms: Collection[str]) -> dict[str, Member]:
         """Return the members on other vms that are reachable and not leaving."""
@@ -241,9 +241,9 @@
             return
         record_store_answer(self._blackboard)
         if snapshot.revision >= self._revision:
-            self._accept(_decode_newest_by_vm(snapshot.entries), snapshot.revision, asked_at)
+            self._adopt_list(_decode_newest_by_vm(snapshot.entries), snapshot.revision, asked_at)
 
-    def _accept(self, members: list[Member], revision: int, asked_at: float) -> None:
+    def _adopt_list(self, members: list[Member], revision: int, asked_at: float) -> None:
         """Adopt a list that is not older than the current one."""
         board = self._blackboard
         self._registered_members = members
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/relay.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/relay.py
@@ -107,12 +107,12 @@
                     progress.may_have_run = True
                     progress.last_detail = detail
                     if not progress.route.retryable or not self._crashes.may_retry(progress):
-                        return self._answer_unrepeatable(progress)
+                        return self._unrepeatable_refusal(progress)
 
-    def _answer_unrepeatable(self, progress: Progress) -> Refusal:
+    def _unrepeatable_refusal(self, progress: Progress) -> Refusal:
         """Return the refusal of a request that may have run and must not run again."""
         if self._clock.monotonic() >= progress.deadline_at:
-            return self._answer_timed_out(progress)
+            return self._timeout_refusal(progress)
         return Refusal(Reason.OUTCOME_UNKNOWN, progress.last_detail)
 
     async def _next_placement(self, progress: Progress) -> Placement | Refusal | WholeAnswer:
@@ -123,13 +123,13 @@
                 return answer
             placement = self._selector.select_preferred(progress)
             if placement is None and not self._selector.has_usable_upstream(progress):
-                return self._answer_given_up(progress)
+                return self._given_up_answer(progress)
             if progress.delivered_sends and not self._acquire_retry(progress):
-                return self._answer_given_up(progress)
-            max_wait = self._max_permit_wait_seconds(progress)
-            match await self._selector.acquire(progress, placement, max_wait):
+                return self._given_up_answer(progress)
+            max_wait_seconds = self._max_permit_wait_seconds(progress)
+            match await self._selector.acquire(progress, placement, max_wait_seconds):
                 case PermitDenied(retry_seconds):
-                    return self._answer_rate_limited(progress, retry_seconds)
+                    return self._rate_limited_answer(progress, retry_seconds)
                 case Placement() as chosen if self._final_answer(progress) is None:
                     progress.retry_granted = False
                     return chosen
@@ -137,14 +137,14 @@
     def _final_answer(self, progress: Progress) -> Refusal | WholeAnswer | None:
         """Return the final answer if the request must not be sent any more, else None."""
         if self._clock.monotonic() >= progress.deadline_at:
-            return self._answer_timed_out(progress)
+            return self._timeout_refusal(progress)
         # Its content may have been quarantined while it waited for a permit.
         held_seconds = self._crashes.quarantine_seconds(progress)
         if held_seconds:
-            return self._answer_quarantined(progress, held_seconds)
+            return self._quarantine_refusal(progress, held_seconds)
         # A send that reached another upstream than the selected one does not count as an attempt.
         if progress.delivered_sends - progress.misdirected >= progress.route.max_attempts:
-            return self._answer_given_up(progress)
+            return self._given_up_answer(progress)
         return None
 
     def _max_permit_wait_seconds(self, progress: Progress) -> float:
@@ -167,7 +167,7 @@
                 log.failure("retry.budget_spent", request=progress.call.request_id)
         return progress.retry_granted
 
-    def _answer_given_up(self, progress: Progress) -> Refusal | WholeAnswer:
+    def _given_up_answer(self, progress: Progress) -> Refusal | WholeAnswer:
         """Return the final answer to a request that has no attempt left."""
         if progress.last_failure is not None:
             return progress.last_failure
@@ -182,24 +182,24 @@
         reason = Reason.UPSTREAMS_REFUSED if progress.tried_upstream_ids else Reason.NO_UPSTREAM
         return Refusal(reason, progress.last_detail)
 
-    def _answer_rate_limited(
+    def _rate_limited_answer(
         self, progress: Progress, retry_seconds: float
     ) -> Refusal | WholeAnswer:
         """Return the final answer to a request that got no permit in time."""
         if progress.last_failure is not None or progress.may_have_run:
-            return self._answer_given_up(progress)
+            return self._given_up_answer(progress)
         detail = progress.last_detail or "all upstreams are rate limited"
         return Refusal(Reason.UPSTREAMS_LIMITED, detail, retry_seconds=retry_seconds)
 
     @staticmethod
-    def _answer_quarantined(progress: Progress, held_seconds: float) -> Refusal:
+    def _quarantine_refusal(progress: Progress, held_seconds: float) -> Refusal:
         """Return the refusal of a request whose content crashes upstreams."""
         if progress.may_have_run:
             return Refusal(Reason.OUTCOME_UNKNOWN, progress.last_detail)
         return quarantine_refusal(progress, held_seconds)
 
     @staticmethod
-    def _answer_timed_out(progress: Progress) -> Refusal:
+    def _timeout_refusal(progress: Progress) -> Refusal:
         """Return the refusal of a request whose deadline has passed."""
         reason = Reason.TIMED_OUT if progress.may_have_run else Reason.TIMED_OUT_UNSENT
         return Refusal(reason, progress.last_detail)
@@ -276,8 +276,14 @@
         )
         try:
             await asyncio.wait((exchange,), timeout=self._first_byte_timeout_seconds(progress))
-            silent = not exchange.done() and progress.stream.buffer.count == events_before
-            if silent and self._can_retry_elsewhere(progress) and self._acquire_retry(progress):
+            no_event_received = (
+                not exchange.done() and progress.stream.buffer.count == events_before
+            )
+            if (
+                no_event_received
+                and self._can_retry_elsewhere(progress)
+                and self._acquire_retry(progress)
+            ):
                 raise ConnectionBrokenError(
                     "no byte received in time", step="wait", peer=upstream.address
                 )
@@ -291,8 +297,8 @@
         if progress.stream.head_sent:
             return MAX_EVENT_GAP_SECONDS
         remaining = progress.deadline_at - self._clock.monotonic()
-        first_byte_timeout = FIRST_BYTE_TIMEOUT_OBJECTIVES * progress.route.objective_seconds
-        return min(first_byte_timeout, MAX_WAIT_SHARE * remaining)
+        timeout_seconds = FIRST_BYTE_TIMEOUT_OBJECTIVES * progress.route.objective_seconds
+        return min(timeout_seconds, MAX_WAIT_SHARE * remaining)
 
     def _can_retry_elsewhere(self, progress: Progress) -> bool:
         """Return whether another attempt elsewhere may follow the running one."""
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/reservations.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/reservations.py
@@ -156,7 +156,7 @@
         pending = _PendingReservation(
             f"{self._blackboard.own.incarnation}/{request_id}", workspace, tokens
         )
-        holders = self._holders(workspace)
+        holders = self._holders_to_call(workspace)
         for vm in holders:
             await self._reserve_at(
                 pending, vm, ReserveRequest(pending.id, workspace, pending.missing)
@@ -165,10 +165,10 @@
                 return pending.reservation()
         if not pending.exhausted and pending.drawing_holders:
             # The reply to an insufficient draw may still show that the workspace is exhausted.
-            drawn = ReserveRequest(
+            draw_request = ReserveRequest(
                 f"{pending.id}/drawn", workspace, pending.missing, allow_draw=True
             )
-            await self._reserve_at(pending, pending.drawing_holders[0], drawn)
+            await self._reserve_at(pending, pending.drawing_holders[0], draw_request)
             if not pending.missing:
                 return pending.reservation()
         self.settle(pending.reservation(), 0)
@@ -208,7 +208,7 @@
             *(self._send_settlements(holder) for holder in list(self._unsent_settlements_by_holder))
         )
 
-    def _holders(self, workspace: str) -> list[str]:
+    def _holders_to_call(self, workspace: str) -> list[str]:
         """Return the vms of the holders to call, in order.
 
         This gateway comes first if it is a holder, then those with most available tokens; holders
@@ -270,9 +270,9 @@
                 # is nothing left to settle.
                 log.change("settlements.dropped", holder=holder, count=len(batch))
                 return
-            sent_batch = batch[:MAX_SETTLEMENTS_PER_CALL]
+            settlements = batch[:MAX_SETTLEMENTS_PER_CALL]
             try:
-                await self._peers.settle(peer, SettleRequest(sent_batch), SETTLE_TIMEOUT_SECONDS)
+                await self._peers.settle(peer, SettleRequest(settlements), SETTLE_TIMEOUT_SECONDS)
             except PeerError as error:
                 self._unsent_settlements_by_holder[holder] = (
                     batch + self._unsent_settlements_by_holder.get(holder, [])
@@ -281,7 +281,7 @@
                 self._schedule_flush()
                 return
             if len(batch) > MAX_SETTLEMENTS_PER_CALL:
-                later = batch[MAX_SETTLEMENTS_PER_CALL:] + self._unsent_settlements_by_holder.get(
-                    holder, []
-                )
-                self._unsent_settlements_by_holder[holder] = later
+                remaining_batch = batch[
+                    MAX_SETTLEMENTS_PER_CALL:
+                ] + self._unsent_settlements_by_holder.get(holder, [])
+                self._unsent_settlements_by_holder[holder] = remaining_batch
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/shared_budgets.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/shared_budgets.py
@@ -23,7 +23,7 @@
         self._clock = clock
         self._entry: KvEntry | None = None
         self._record = BudgetRecord()
-        self._current_at = float("-inf")
+        self._last_synced_at = float("-inf")
         self.is_current = False
 
     @property
@@ -34,7 +34,7 @@
     @property
     def age_seconds(self) -> float:
         """Return the time since the copy was last read or written."""
-        return self._clock.monotonic() - self._current_at
+        return self._clock.monotonic() - self._last_synced_at
 
     def budget(self, workspace: str) -> WorkspaceBudget:
         """Return the budget of a workspace; changes to it are included in the next write."""
@@ -60,7 +60,7 @@
         """
         self.is_current = False
         self._entry = await self._store.get(BUDGET_KEY)
-        self._current_at = self._clock.monotonic()
+        self._last_synced_at = self._clock.monotonic()
         value = self._entry.value if self._entry else None
         try:
             self._record = BudgetRecord.decode(value)
@@ -80,5 +80,5 @@
         expected = self._entry.version if self._entry else ABSENT_VERSION
         self.is_current = False
         self._entry = await self._store.put_if(BUDGET_KEY, self._record.encode(), expected)
-        self._current_at = self._clock.monotonic()
+        self._last_synced_at = self._clock.monotonic()
         self.is_current = True
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/write_offs.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/write_offs.py
@@ -14,11 +14,13 @@
         self._blackboard = blackboard
         self._logged: set[str] = set()
 
-    def log_new(self, shared: SharedBudgets) -> None:
+    def log_new(self, shared_budgets: SharedBudgets) -> None:
         """Log the holders that have terminated since the last call."""
-        terminated = {key for key in shared.holders() if self._blackboard.has_terminated(key)}
+        terminated = {
+            key for key in shared_budgets.holders() if self._blackboard.has_terminated(key)
+        }
         for holder in sorted(terminated - self._logged):
-            tokens_by_workspace = shared.outstanding_by_workspace(holder)
+            tokens_by_workspace = shared_budgets.outstanding_by_workspace(holder)
             if any(tokens_by_workspace.values()):
                 log.change(
                     "allotments.written_off",
