--- a/packages/quinceferry-daemon/src/quinceferryd/admission.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/admission.py
@@ -206,9 +206,7 @@
             return unsent_refusal(RefusalReason.QUEUE_FULL, wait_seconds, "the queue is too long")
         if target_queue.fair_queue.workspace_is_full(request.workspace):
             return unsent_refusal(
-                RefusalReason.QUEUE_FULL,
-                wait_seconds,
-                "the workspace has reached its share of the queue",
+                RefusalReason.QUEUE_FULL, wait_seconds, "the workspace fills its queue"
             )
         if target_queue.fair_queue.has_capacity(request.workspace):
             return None
@@ -226,7 +224,7 @@
         reason = RefusalReason.DEADLINE_EXCEEDED if overdue else RefusalReason.QUEUE_FULL
         wait_seconds = target_queue.expected_wait_seconds(waiting.priority, now)
         if not waiting.item.decision.done():
-            refusal = unsent_refusal(reason, wait_seconds, "no slot became free in time")
+            refusal = unsent_refusal(reason, wait_seconds, "no capacity came free in time")
             waiting.item.decision.set_result(refusal)
 
     def _max_wait_seconds(self, target_queue: TargetQueue) -> float:
--- a/packages/quinceferry-daemon/src/quinceferryd/attempts.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/attempts.py
@@ -245,11 +245,11 @@
         if ending is ConnectionEnding.READER_STALLED:
             return "the caller stopped reading"
         if ending is ConnectionEnding.TEXT_MISMATCH:
-            return "another run returned different text from the text already delivered"
+            return "another run gave other text than the caller has"
         if attempt.may_have_run and not self._request.idempotent:
-            return "a non-idempotent request is not retried"
+            return "a non-idempotent request is not sent again"
         if self._delivered.is_incomparable:
-            return "too much text was delivered to continue from another run"
+            return "too much was delivered to continue from another run"
         if not self._context.crash_watch.may_retry(self._request):
             return "the same content has crashed engines"
         if len(self._result.attempts) >= self._context.settings.max_attempts:
@@ -258,7 +258,7 @@
             return "the deadline has passed"
         if not self._context.retry_budget.try_withdraw():
             self._context.counters.retries_denied += 1
-            return "the retry budget is exhausted"
+            return "too many requests are being retried"
         return ""
 
     def _with_combined_outcome(self, failed: Failed) -> Failed:
--- a/packages/quinceferry-daemon/src/quinceferryd/http_transport.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/http_transport.py
@@ -151,7 +151,7 @@
         async with asyncio.timeout(seconds):
             yield
     except TimeoutError as error:
-        raise httpx.ReadTimeout(f"no data received within {seconds} s") from error
+        raise httpx.ReadTimeout(f"nothing within {seconds} s") from error
 
 
 async def _connect(peer: _Peer, seconds: float | None) -> HttpConnection:
@@ -166,7 +166,7 @@
         async with asyncio.timeout(seconds):
             _, connection = await loop.create_connection(HttpConnection, host, port)
     except TimeoutError as error:
-        raise httpx.ConnectTimeout(f"not connected within {seconds} s") from error
+        raise httpx.ConnectTimeout(f"no connection within {seconds} s") from error
     except OSError as error:
         raise httpx.ConnectError(repr(error)) from error
     return connection
--- a/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
@@ -35,7 +35,7 @@
     RefusalReason.BUDGET_UNREACHABLE,
     NEVER_SENT,
     HOME_RETRY_SECONDS,
-    "this router has forwarded the request to other routers itself",
+    "this router has asked others to run the request",
     step="forward",
 )
 """Refusal of a forwarded request that this router has forwarded, too.
@@ -150,7 +150,7 @@
             detail = "the ticket was issued to another workspace"
             return Failed(RefusalReason.TICKET_INVALID, NEVER_SENT, detail=detail)
         if not request.idempotent and ticket.expires_at < self._clock.now():
-            detail = "the ticket has expired, and the outcomes of its requests are no longer stored"
+            detail = "the ticket has expired, and so has the memory of its requests"
             return Failed(RefusalReason.TICKET_INVALID, Unknown(), detail=detail)
         return None
 
@@ -184,11 +184,11 @@
     def _interrupted_failure(self) -> Failed:
         """Return the failure of a request that ended without a final event."""
         if self._blackboard.state is RouterState.LEFT:
-            detail = "the request was still running when the router's drain deadline passed"
+            detail = "the request was open when its router's stop reached its bound"
             return Failed(
                 RefusalReason.ROUTER_STOPPING, Unknown(), HOME_RETRY_SECONDS, detail, "stop"
             )
-        detail = "the request was interrupted"
+        detail = "the request was ended"
         return Failed(RefusalReason.INTERNAL, Unknown(), detail=detail)
 
     async def _read_events(self, run: RequestRun) -> AnswerStream:
@@ -274,9 +274,9 @@
         key = RequestKey(request.workspace, request.request_id)
         outcome = await self._proofs.outcome(ticket, key)
         if isinstance(outcome, NotRun):
-            detail = "the home router stopped without running the request; get a new address"
+            detail = "its home has left without running it; ask for a new address"
             return Failed(RefusalReason.HOME_GONE, outcome, HOME_RETRY_SECONDS, detail)
-        detail = "the home router stopped and may have run the request"
+        detail = "its home is gone and may have run it"
         return Failed(RefusalReason.HOME_GONE, outcome, 0.0, detail)
 
     def _home_address(self, ticket: Ticket) -> str:
--- a/packages/quinceferry-daemon/src/quinceferryd/request_options.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/request_options.py
@@ -118,7 +118,7 @@
             case Failure(detail):
                 return Failure(refusal(RefusalReason.TICKET_INVALID, detail))
             case _:
-                return Failure(refusal(RefusalReason.TICKET_INVALID, "ticket of another workspace"))
+                return Failure(refusal(RefusalReason.TICKET_INVALID, "ticket of other workspace"))
 
 
 def malformed_refusal(detail: str) -> Failure[Failed]:
--- a/packages/quinceferry-daemon/src/quinceferryd/upstream_client.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/upstream_client.py
@@ -191,7 +191,7 @@
                             return
             finally:
                 await response.aclose()
-        raise UpstreamLostError("stream closed before its end", step=step, peer=upstream.id)
+        raise UpstreamLostError("answer ended early", step=step, peer=upstream.id)
 
     async def _call_service(self, dispatch: Dispatch) -> AsyncGenerator[AnswerEvent, None]:
         """Call a plain service and yield its response, whatever its status code."""
@@ -279,7 +279,7 @@
     try:
         return msgspec.json.decode(document, type=kind)
     except msgspec.MsgspecError as error:
-        raise UpstreamLostError(f"malformed reply: {error}", step=step, peer=upstream.id) from error
+        raise UpstreamLostError(f"unreadable: {error}", step=step, peer=upstream.id) from error
 
 
 def _url(upstream: UpstreamSpec, path: str) -> str:
