--- a/packages/quinceferry-daemon/src/quinceferryd/accounts.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/accounts.py
@@ -1,4 +1,4 @@
-"""The journal and the allotments of each incarnation that this process has been."""
+"""Journals and allotments of the current and the former incarnations of this process."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,13 +21,13 @@
 from quinceferryd.settings import BudgetSettings, JournalSettings
 
 BILLS_JOURNAL_SUFFIX = "+bills"
-"""Ends the name of a journal that holds only bills of a closed incarnation."""
+"""Suffix of the name of a journal that holds only the bills of a closed incarnation."""
 
 
 class Account:
     """Journal and allotments of one incarnation.
 
-    ``open_requests`` counts requests in progress that use it.
+    ``open_requests`` is the number of requests in progress that use the account.
     """
 
     def __init__(self, journal: JournalWriter, allotments: AllotmentController) -> None:
@@ -47,17 +47,17 @@
         await self.allotments.start()
 
     async def stop(self) -> None:
-        """Stop both; nothing is flushed."""
+        """Stop the allotments and the journal without flushing them."""
         await self.allotments.stop()
         await self.journal.stop()
 
 
 class AccountController(TaskGroupController):
-    """Opens an account at each join and winds up the account of a closed incarnation.
+    """Opens an account at each join and retires the accounts of closed incarnations.
 
-    A closed incarnation's requests may still be in progress. Their settlements go to the journal of
-    the incarnation that follows, with the origin that paid. Once all are settled, this process
-    knows exactly what the closed incarnation spent, and frees the rest.
+    Requests of a closed incarnation may still be in progress. Their settlements are written to the
+    journal of the next incarnation and name the incarnation that paid as their origin. When all
+    are settled, the exact spending of the closed incarnation is known and the rest is freed.
     """
 
     def __init__(
@@ -80,12 +80,12 @@
         self._journal_settings = journal
         self._pending_settlements: list[Settle] = []
         self.allotments_type = AllotmentController
-        """Class of the allotments, which may be replaced before the first join."""
+        """Class used for allotments; may be replaced before the first join."""
         self.on_open: list[Callable[[Account], None]] = []
         """Called with each account that is opened."""
 
     async def open(self) -> None:
-        """Open the account of the incarnation that has just joined."""
+        """Open an account for the current incarnation, unless it has one."""
         incarnation = self._blackboard.identity.incarnation
         if self.current is not None and self.current.incarnation == incarnation:
             return
@@ -116,7 +116,7 @@
         self._pending_settlements.clear()
 
     async def close(self, incarnation: IncarnationId) -> None:
-        """Stop starting requests under a closed incarnation."""
+        """Close the account of an incarnation, so that no new request uses it."""
         account = self.current
         if account is None or account.incarnation != incarnation:
             return
@@ -126,12 +126,12 @@
         self._append_or_defer(account.journal.take_uncommitted())
         self.closed_accounts.append(account)
         if account.open_requests == 0:
-            self.spawn(self._retire_account(account), f"wind up {incarnation}")
+            self.spawn(self._retire_account(account), f"retire {incarnation}")
 
     def settle(self, account: Account, entry: Settle) -> PendingEntry | None:
-        """Record a settlement, in the successor's journal if the account is closed.
+        """Record a settlement; if the account is closed, in the journal of the next incarnation.
 
-        :return: the journal entry, if the account is open.
+        :return: the journal entry if the account is open, otherwise None.
         """
         if not account.closed:
             return account.journal.append(entry)
@@ -139,13 +139,13 @@
         return None
 
     def release(self, account: Account) -> None:
-        """Note that a request no longer uses an account."""
+        """Decrement the account's open requests; retire it if it is closed and none is left."""
         account.open_requests -= 1
         if account.closed and account.open_requests == 0:
-            self.spawn(self._retire_account(account), f"wind up {account.incarnation}")
+            self.spawn(self._retire_account(account), f"retire {account.incarnation}")
 
     async def recall(self, workspace: WorkspaceId, wanted: int) -> RecallReply:
-        """Return unused tokens to the budget record because a peer lacks them."""
+        """Return unused tokens to the budget record for a peer that is short of tokens."""
         account = self.current
         if account is None:
             return RecallReply(0, 0)
@@ -155,11 +155,11 @@
             return RecallReply(0, 0)
 
     def append_bills(self, bills: list[Settle]) -> None:
-        """Append bills of other incarnations; one that is there already counts once."""
+        """Append bills of other incarnations; a bill that is already recorded counts once."""
         self._append_or_defer(list(bills))
 
     async def flush_and_retire(self) -> None:
-        """Flush the journal and settle all allotments, at a planned stop."""
+        """Flush the journal and retire all allotments before a planned stop."""
         account = self.current
         if account is not None:
             await account.journal.flush()
@@ -174,7 +174,7 @@
         await asyncio.gather(*self._tasks)
 
     async def stop(self) -> None:
-        """Stop the account's background work."""
+        """Stop the background tasks of this controller and of all its accounts."""
         await super().stop()
         if self.current is not None:
             await self.current.stop()
@@ -182,13 +182,13 @@
             await account.stop()
 
     def count_members(self) -> int:
-        """Return how many routers share the key-value service."""
+        """Return the number of routers that share the key-value service."""
         return len(self._blackboard.members_by_incarnation)
 
     async def _write_pending_settlements(self) -> None:
-        """Make bills durable that no further incarnation of this process will write.
+        """Write the pending settlements when no next incarnation of this process will write them.
 
-        They go to a journal of their own, which nobody else appends to and which begins nothing.
+        They go to a separate journal with a single writer, which contains no ``Begin`` entries.
         """
         name = IncarnationId(f"{self._pending_settlements[0].origin}{BILLS_JOURNAL_SUFFIX}")
         journal = JournalWriter(
@@ -202,11 +202,11 @@
         await journal.stop()
 
     def _mark_fenced(self) -> None:
-        """Note that a write met a closed journal or allotment."""
+        """Set the router state to fenced after a write found the journal or allotment closed."""
         self._blackboard.state = RouterState.FENCED
 
     def _append_or_defer(self, entries: list[Entry]) -> None:
-        """Keep settlements for the journal of the next incarnation."""
+        """Append settlements to the current journal, or keep them for the next incarnation."""
         settlements = [entry for entry in entries if not isinstance(entry, Begin)]
         if self.current is None:
             self._pending_settlements.extend(settlements)
@@ -215,7 +215,7 @@
             self.current.journal.append(entry)
 
     async def _retire_account(self, account: Account) -> None:
-        """Free what a closed incarnation did not spend."""
+        """Free the tokens that a closed incarnation did not spend, then drop its account."""
         await account.stop()
         for workspace, holding in account.allotments.holdings_by_workspace.items():
             await self._retire_allotment(account.incarnation, workspace, holding)
@@ -224,7 +224,7 @@
     async def _retire_allotment(
         self, incarnation: IncarnationId, workspace: WorkspaceId, holding: Holding
     ) -> None:
-        """Replace one allotment by what was spent of it, however often it has to be tried."""
+        """Replace one allotment by the tokens spent of it; retry until the write succeeds."""
         backoff = Backoff(self._rng)
         while True:
             try:
--- a/packages/quinceferry-daemon/src/quinceferryd/allotments.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/allotments.py
@@ -1,4 +1,4 @@
-"""Allotments of prepaid tokens held by this incarnation."""
+"""Allotments of prepaid tokens that this incarnation holds."""
 
 import asyncio
 from collections.abc import Callable
@@ -41,7 +41,8 @@
     """Draws, refills and returns allotments for one incarnation.
 
     :param on_fenced: called when a budget record shows that this incarnation was closed.
-    :param health: whether the key-value service answers; in an outage nothing is asked of it.
+    :param health: availability of the key-value service; no reservation draws tokens while it is
+        unavailable.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         )
 
     async def start(self) -> None:
-        """Start the loop that returns idle allotments."""
+        """Start the task that returns idle allotments."""
         self.spawn(self._return_idle_forever(), "allotments")
 
     def ledger(self, workspace: WorkspaceId) -> Ledger:
@@ -80,9 +81,9 @@
     async def reserve(
         self, workspace: WorkspaceId, request: RequestId, tokens: int
     ) -> Result[int, ReserveError]:
-        """Reserve tokens for a request, drawing more when the allotment is short.
+        """Reserve tokens for a request; draw more if the allotment is too small.
 
-        :return: the tokens reserved, or why there are too few.
+        :return: the number of tokens reserved, or the reason why they could not be reserved.
         """
         holding = self._get_or_create_holding(workspace)
         holding.last_used_at = self._clock.monotonic()
@@ -104,7 +105,7 @@
         )
 
     def settle(self, workspace: WorkspaceId, request: RequestId, used: int) -> int:
-        """Replace a request's reservation by its use; return the tokens charged."""
+        """Replace a request's reservation by the tokens it used; return the tokens charged."""
         holding = self._get_or_create_holding(workspace)
         charged = holding.ledger.settle(request, used)
         holding.next_settlement.set()
@@ -114,7 +115,7 @@
     async def wait_settled(self, workspace: WorkspaceId, timeout_seconds: float) -> bool:
         """Wait for the next settlement of a workspace.
 
-        :return: whether one came in time.
+        :return: whether a settlement was made before the timeout.
         """
         event = self._get_or_create_holding(workspace).next_settlement
         try:
@@ -125,9 +126,9 @@
         return True
 
     async def recall(self, workspace: WorkspaceId, wanted: int) -> RecallReply:
-        """Return unused tokens to the budget record because a peer lacks them.
+        """Return unused tokens to the budget record for a peer that is short of tokens.
 
-        :param wanted: tokens the peer lacks; as much as is unused goes back, up to this.
+        :param wanted: number of tokens that the peer is short of; at most this many are returned.
         """
         holding = self.holdings_by_workspace.get(workspace)
         if holding is None:
@@ -139,7 +140,7 @@
             return RecallReply(returned, holding.ledger.available)
 
     def _get_or_create_holding(self, workspace: WorkspaceId) -> Holding:
-        """Return the holding of a workspace, creating it."""
+        """Return the holding of a workspace; create it if it does not exist."""
         return self.holdings_by_workspace.setdefault(workspace, Holding())
 
     async def _draw(
@@ -166,12 +167,12 @@
         return Failure(BudgetUnreachable(wanted))
 
     async def _return_tokens(self, workspace: WorkspaceId, holding: Holding, tokens: int) -> int:
-        """Return tokens; the caller holds the lock.
+        """Return tokens to the budget record; the caller holds the lock.
 
-        The ledger is debited before the write: a lost answer then leaves tokens unused, never used
-        twice.
+        The ledger is debited before the write, so that a lost answer can leave tokens unused but
+        never lets them be spent twice.
 
-        :return: the tokens known to be back in the record.
+        :return: number of tokens that were certainly returned to the record.
         """
         debited_tokens = 0
         for _ in range(MAX_CAS_ATTEMPTS):
@@ -191,12 +192,15 @@
     async def _read_record(
         self, workspace: WorkspaceId, holding: Holding
     ) -> tuple[KvEntry | None, BudgetRecord]:
-        """Read the record and take over what it says of operations with lost answers."""
+        """Read the budget record and apply the result of an operation whose answer was lost.
+
+        :raises FencedError: the record shows that this incarnation was closed.
+        """
         entry = await self._kv.get(budget_key(workspace))
         record = decode_budget(workspace, entry)
         holding.record = record
         own_allotment = record.allotments_by_incarnation.get(self.incarnation)
-        # A record that has lost the allotment was settled by another router after a close.
+        # An allotment missing from the record was retired by another router after a close.
         is_retired = own_allotment is None and holding.ledger.drawn > 0
         if is_retired or (own_allotment is not None and own_allotment.closed):
             self._on_fenced()
@@ -215,17 +219,18 @@
         record: BudgetRecord,
         tokens: int,
     ) -> None:
-        """Write the allotment with ``tokens`` more than the ledger holds, and take it over."""
+        """Write the allotment, raised by ``tokens``, to the record; then update the ledger."""
         ledger = holding.ledger
         holding.sequence += 1
         holding.has_unknown_write = True
         drawn = ledger.drawn + tokens
-        # All that is unspent may be spent in an outage. Tokens spent since the last write count
-        # twice, which is on the safe side.
+        # All unspent tokens may be spent during an outage. Tokens spent since the last write are
+        # counted twice, which overestimates the possible spending and is therefore safe.
         outage_tokens = max(ledger.unrecorded, drawn - ledger.spent)
         wanted = Allotment(drawn, ledger.spent, outage_tokens, holding.sequence)
         changed = resize_allotment(record, self.incarnation, wanted).unwrap()
-        # The part for outages shrinks here before it shrinks in the record, and grows after it.
+        # The ledger lowers its outage tokens before the write and raises them only after it, so
+        # that the record never understates them.
         ledger.outage_tokens = min(ledger.outage_tokens, outage_tokens)
         version = entry.version if entry else ABSENT_VERSION
         await self._kv.put_if(budget_key(workspace), msgspec.json.encode(changed), version)
@@ -235,7 +240,7 @@
         ledger.outage_tokens = outage_tokens
 
     def _refill_if_low(self, workspace: WorkspaceId, holding: Holding) -> None:
-        """Start a refill when too little of the target is left."""
+        """Start a refill if the available tokens are below the refill threshold."""
         if holding.refilling or holding.record is None:
             return
         refill_threshold = (
@@ -251,12 +256,12 @@
         self.spawn(self._refill(workspace, holding), f"refill {workspace}")
 
     def _target_tokens(self, holding: Holding, record: BudgetRecord) -> int:
-        """Return how many unused tokens this router should hold."""
+        """Return the number of unused tokens that this router should hold."""
         rate = holding.ledger.demand_tokens_per_second
         return target_unspent_tokens(record, self.incarnation, rate, self._policy)
 
     async def _refill(self, workspace: WorkspaceId, holding: Holding) -> None:
-        """Draw up to the target ahead of demand; the next request tries again if this fails."""
+        """Draw tokens up to the target ahead of demand; a later request retries a failure."""
         try:
             async with holding.lock:
                 entry, record = await self._read_record(workspace, holding)
@@ -270,7 +275,7 @@
             holding.refilling = False
 
     async def _return_idle_forever(self) -> None:
-        """Return the tokens of workspaces that send nothing here any more."""
+        """Periodically return the tokens of workspaces that are idle at this router."""
         idle_seconds = self._settings.idle_return_seconds
         while True:
             await self._clock.sleep(idle_seconds / 2)
@@ -281,7 +286,7 @@
                     await self._return_idle(workspace, holding, idle)
 
     async def _return_idle(self, workspace: WorkspaceId, holding: Holding, idle: bool) -> None:
-        """Return one workspace's unused tokens, or only resolve an operation with a lost answer."""
+        """Return an idle workspace's unused tokens; otherwise only resolve an unknown write."""
         try:
             async with holding.lock:
                 tokens = holding.ledger.available if idle else 0
--- a/packages/quinceferry-daemon/src/quinceferryd/billing.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/billing.py
@@ -1,4 +1,4 @@
-"""Turns the attempts of one request into its bill."""
+"""Computes the bill of a request from its attempts."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestBill:
-    """Tokens to bill, and tokens charged to the budget without a bill.
+    """Tokens to bill, and tokens charged to the budget without being billed.
 
-    ``run`` is false when nothing shows that an upstream ran the request; there is no bill then.
+    ``lost`` are the tokens charged but not billed. ``run`` is false if there is no evidence that an
+    upstream ran the request; there is no bill in that case. ``estimated`` marks a bill whose exact
+    use is unknown.
     """
 
     tokens: int
@@ -19,15 +21,15 @@
 
 
 def compute_bill(result: StreamResult, token_cap: int, max_output_tokens: int) -> RequestBill:
-    """Work out the bill of a request whose attempts have all ended.
+    """Return the bill of a request whose attempts have all ended.
 
-    Every attempt that may have run is charged, with its cap if its use is not known. Only the last
-    one is billed. A last attempt of unknown use is billed for the prompt and what was delivered,
-    and not at all if nothing was: it may never have reached the upstream. One that was stopped
-    before it used a token is not billed either.
+    Every attempt that may have run is charged, with its cap if its use is unknown. Only the last
+    attempt is billed. If its use is unknown, the prompt and the delivered output are billed, or
+    nothing if no output was delivered, since it may never have reached the upstream. An attempt
+    that was stopped before it used a token is not billed.
 
-    :param token_cap: bound on prompt and output of each attempt.
-    :param max_output_tokens: bound on the output, a part of the cap.
+    :param token_cap: maximum of prompt and output tokens of each attempt.
+    :param max_output_tokens: maximum of output tokens, included in the cap.
     """
     used_tokens = [attempt.tokens for attempt in result.possible_runs]
     charged_tokens = sum(
--- a/packages/quinceferry-daemon/src/quinceferryd/budgets.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/budgets.py
@@ -33,9 +33,9 @@
 
 @dataclass(slots=True, frozen=True)
 class TopUpRejected:
-    """A top-up that did not happen, or whose effect is not known yet.
+    """A top-up that was rejected, or whose outcome is unknown.
 
-    After ``is_outcome_unknown``, repeat the call with the same operation id.
+    If ``is_outcome_unknown`` is set, repeat the call with the same operation id.
     """
 
     detail: str
@@ -43,7 +43,7 @@
 
 
 class BudgetService:
-    """Operators' view of budgets."""
+    """Reads and tops up the budgets of workspaces."""
 
     def __init__(self, kv: KvStore) -> None:
         self._kv = kv
@@ -51,10 +51,10 @@
     async def top_up(
         self, workspace: WorkspaceId, tokens: int, operation: OperationId
     ) -> Result[Balance, TopUpRejected]:
-        """Grant tokens, once for each operation id.
+        """Grant tokens to a workspace, exactly once for each operation id.
 
-        :param tokens: tokens to add; positive.
-        :return: the balance afterwards, or why nothing is certain.
+        :param tokens: number of tokens to add; must be positive.
+        :return: the balance afterwards, or why the top-up was rejected or is uncertain.
         """
         if tokens <= 0:
             return Failure(TopUpRejected("tokens must be positive"))
@@ -62,7 +62,7 @@
             stored = await self._create_top_up_record(workspace, TopUpRecord(operation, tokens))
             top_up_record = msgspec.json.decode(stored.value, type=TopUpRecord)
             if top_up_record.tokens != tokens:
-                return Failure(TopUpRejected("the operation id was used for another amount"))
+                return Failure(TopUpRejected("the operation id was used with another amount"))
             if top_up_record.applied:
                 return Success(await self.balance(workspace))
             record = await self._apply_top_up(workspace, top_up_record)
@@ -72,7 +72,7 @@
             return Failure(TopUpRejected(str(error), is_outcome_unknown=True))
         except KvConflictError as error:
             return Failure(
-                TopUpRejected(f"too many concurrent changes: {error}", is_outcome_unknown=True)
+                TopUpRejected(f"the budget record keeps changing: {error}", is_outcome_unknown=True)
             )
 
     async def balance(self, workspace: WorkspaceId) -> Balance:
@@ -83,7 +83,7 @@
         return Balance.from_record(await self.record(workspace))
 
     async def record(self, workspace: WorkspaceId) -> BudgetRecord:
-        """Read a workspace's budget record; an absent one is empty.
+        """Read a workspace's budget record; return an empty record if it is absent.
 
         :raises KvUnavailableError: the key-value service did not answer.
         """
@@ -95,21 +95,22 @@
     ) -> BillPage:
         """Read a page of a workspace's bills, one for each request.
 
-        :param cursor: ``next_cursor`` of the previous page, or empty.
+        :param cursor: ``next_cursor`` of the previous page; empty for the first page.
         :raises KvUnavailableError: the key-value service did not answer.
         """
         entries: list[Settle] = []
         for stored_entry in await self._kv.list(JOURNAL_PREFIX):
             slot = msgspec.json.decode(stored_entry.value, type=Slot)
             entries.extend(entry for entry in slot.entries if isinstance(entry, Settle))
-        # Segments are read after the slots they are folded from, so that no bill is missed.
+        # Compaction writes a segment before it deletes the slots. Reading the segments after the
+        # slots therefore misses no bill.
         for stored_entry in await self._kv.list(SEGMENT_PREFIX):
             entries.extend(msgspec.json.decode(stored_entry.value, type=Segment).bills)
         workspace_bills = (entry for entry in entries if entry.workspace == workspace)
         return bill_page(unique_bills(workspace_bills), workspace, cursor, size)
 
     async def _create_top_up_record(self, workspace: WorkspaceId, wanted: TopUpRecord) -> KvEntry:
-        """Create the top-up's own record, or return the one that is there."""
+        """Create the record of the top-up, or return the existing one."""
         key = top_up_key(workspace, wanted.operation)
         try:
             return await self._kv.put_if(key, msgspec.json.encode(wanted), ABSENT_VERSION)
@@ -122,7 +123,7 @@
     async def _apply_top_up(
         self, workspace: WorkspaceId, top_up_record: TopUpRecord
     ) -> BudgetRecord:
-        """Add the tokens to the budget record, unless they are already there."""
+        """Add the tokens to the budget record, unless the top-up was already applied."""
         key = budget_key(workspace)
         for _ in range(MAX_CAS_ATTEMPTS):
             entry = await self._kv.get(key)
@@ -140,10 +141,10 @@
                 return changed
             except KvConflictError:
                 continue
-        raise KvConflictError("gave up after many conflicts", step="budget.top_up", peer=workspace)
+        raise KvConflictError("too many conflicting writes", step="budget.top_up", peer=workspace)
 
     async def _is_applied(self, workspace: WorkspaceId, operation: OperationId) -> bool:
-        """Read whether a top-up's own record is marked as applied."""
+        """Return whether the record of a top-up is marked as applied."""
         stored_entry = await self._kv.get(top_up_key(workspace, operation))
         return (
             stored_entry is not None
@@ -153,7 +154,7 @@
     async def _remove_applied_top_ups(
         self, workspace: WorkspaceId, record: BudgetRecord
     ) -> BudgetRecord:
-        """Drop the operation ids of top-ups that are marked as applied."""
+        """Remove the operation ids of top-ups that are marked as applied."""
         for operation in record.pending_top_ups:
             if await self._is_applied(workspace, operation):
                 record = remove_pending_top_up(record, operation)
@@ -162,10 +163,10 @@
     async def _mark_applied(
         self, workspace: WorkspaceId, stored: KvEntry, top_up_record: TopUpRecord
     ) -> None:
-        """Mark the top-up's own record, so that the budget record may forget its id."""
+        """Mark a top-up as applied, so that its id can be removed from the budget record."""
         value = msgspec.json.encode(replace(top_up_record, applied=True))
         try:
             await self._kv.put_if(stored.key, value, stored.version)
         except KvConflictError:
-            # Another call with the same operation id has marked it.
+            # A concurrent call with the same operation id has marked it.
             return
--- a/packages/quinceferry-daemon/src/quinceferryd/compaction.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/compaction.py
@@ -1,4 +1,4 @@
-"""Compacts old journal slots of this incarnation into segments of bills."""
+"""Compacts old slots of this incarnation's journal into segments, which contain only bills."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -26,16 +26,16 @@
 from quinceferryd.settings import JournalSettings
 
 MIN_SEGMENT_SLOTS = 64
-"""Fewer slots are not worth a segment."""
+"""Minimum number of slots that are compacted into a segment."""
 MAX_FLEET_DELETES_PER_SECOND = 150.0
-"""Deletes of all routers together; somewhat more than their commits, so that no slots pile up."""
+"""Delete rate of all routers together; above their commit rate, so that slots do not accumulate."""
 MAX_SEGMENT_BILLS = 4000
-"""Bills in one segment; keeps its value well below the service's limit of one megabyte."""
+"""Maximum of bills in a segment; keeps it well below the store's value limit of one megabyte."""
 
 
 @dataclass(slots=True, frozen=True)
 class _CompactedPart:
-    """Where the folded part of a journal ends, and its totals."""
+    """End and totals of the compacted part of a journal."""
 
     incarnation: IncarnationId
     next_slot: int
@@ -44,22 +44,22 @@
 
     @classmethod
     def after(cls, incarnation: IncarnationId, state: JournalState) -> "_CompactedPart":
-        """Return the end of what a state has taken over."""
+        """Return the compacted part that ends where a journal state ends."""
         spent = dict(state.spent_by_workspace)
         return cls(incarnation, state.next_slot, state.next_position, spent)
 
     def state(self) -> JournalState:
-        """Return a state that continues from here."""
+        """Return a journal state to which the following slots can be applied."""
         return JournalState(
             self.next_slot, self.next_position, spent_by_workspace=dict(self.spent_by_workspace)
         )
 
 
 class JournalCompactor(TaskGroupController):
-    """Keeps the number of keys in this incarnation's journal small.
+    """Limits the number of keys in this incarnation's journal.
 
-    A slot is folded once every request that it begins is settled. The segment is written before the
-    slots are deleted; until then both hold the same bills, which count once.
+    A slot is compacted when every request that begins in it is settled. The segment is written
+    before the slots are deleted; in between, both contain the same bills, which count once.
     """
 
     def __init__(
@@ -80,18 +80,18 @@
         self._compacted: _CompactedPart | None = None
 
     async def start(self) -> None:
-        """Start folding at intervals."""
+        """Start compacting periodically."""
         self.spawn(self._compact_forever(), "journal compaction")
 
     async def compact(self, incarnation: IncarnationId) -> int:
-        """Fold what can be folded once; return how many slots were.
+        """Compact the slots that can be compacted now and return the number of deleted slots.
 
-        :raises KvError: the key-value service did not answer; call again.
+        :raises KvError: a call to the key-value service failed; repeat the call.
         """
         entries = await self._kv.list(f"{JOURNAL_PREFIX}{incarnation}/")
         compacted_part = await self._read_compacted(incarnation)
         compacted_state = compacted_part.state()
-        # Slots below the last segment's end are left over from a fold that was interrupted.
+        # Slots before the end of the last segment remain from an interrupted compaction.
         compacted_slots = [
             entry for entry in entries if slot_number(entry.key) < compacted_state.next_slot
         ]
@@ -104,7 +104,7 @@
             incarnation, entries[len(compacted_slots) :], compacted_state, full_state, now
         )
         if segment is not None:
-            # Whether a write took effect is not known until it returns.
+            # Until the write returns, it is unknown whether it took effect.
             self._compacted = None
             await self._write(segment_key(incarnation, segment.first_slot), segment)
             self._compacted = _CompactedPart.after(incarnation, compacted_state)
@@ -115,8 +115,10 @@
         return len(compacted_slots)
 
     async def _read_compacted(self, incarnation: IncarnationId) -> "_CompactedPart":
-        """Return the folded part of the journal; its segments, which grow with the age of this
-        incarnation, are read once."""
+        """Return the compacted part of the journal.
+
+        It is cached, because the number of segments to read grows with the incarnation's age.
+        """
         if self._compacted is None or self._compacted.incarnation != incarnation:
             self._compacted = _CompactedPart.after(
                 incarnation, await read_segments(self._kv, incarnation)
@@ -124,11 +126,11 @@
         return self._compacted
 
     def _delete_interval(self) -> float:
-        """Return the time between two deletes, which would otherwise come in one burst."""
+        """Return the pause between two deletes, which spreads the deletes of a compaction."""
         return self._accounts.count_members() / MAX_FLEET_DELETES_PER_SECOND
 
     async def _compact_forever(self) -> None:
-        """Fold whenever enough slots have come since the last time."""
+        """Compact whenever enough slots were committed since the last compaction."""
         while True:
             interval = self._settings.fold_interval_seconds
             await self._clock.sleep(interval * self._rng.uniform(0.8, 1.2))
@@ -145,7 +147,7 @@
                 continue
 
     async def _write(self, key: str, segment: Segment) -> None:
-        """Create a segment; an earlier try with a lost answer may have created it."""
+        """Create a segment, unless an earlier attempt with a lost answer has created it."""
         value = msgspec.json.encode(segment)
         try:
             await self._kv.put_if(key, value, ABSENT_VERSION)
@@ -156,7 +158,7 @@
 
 
 def _decode_without_time(value: bytes) -> Segment:
-    """Return a segment without the time at which it was folded."""
+    """Decode a segment and clear the time of its compaction."""
     segment = msgspec.json.decode(value, type=Segment)
     return msgspec.structs.replace(segment, folded_at=None)
 
@@ -168,11 +170,12 @@
     full_state: JournalState,
     now: datetime,
 ) -> tuple[list[KvEntry], Segment | None]:
-    """Choose the longest run of oldest slots without an unsettled request.
+    """Choose the longest sequence of oldest slots without unsettled requests.
 
-    :param entries: slots after the folded part.
-    :param folded: the folded part of the journal, which is continued.
-    :param whole: the whole journal, which tells the unsettled requests.
+    :param entries: slots after the compacted part.
+    :param compacted_state: state of the compacted part; the chosen slots are applied to it.
+    :param full_state: state of the whole journal, which contains the unsettled requests.
+    :return: the chosen slots and their segment, or none of both if there are too few slots.
     """
     compacted_slots: list[KvEntry] = []
     bills: list[Settle] = []
--- a/packages/quinceferry-daemon/src/quinceferryd/holdings.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/holdings.py
@@ -1,4 +1,4 @@
-"""What an incarnation holds of one workspace's budget, and the budget record as it is stored."""
+"""State of an incarnation's allotment of one workspace's budget, and decoding of budget records."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -11,12 +11,12 @@
 from quinceferry_core.models import WorkspaceId
 
 MAX_CAS_ATTEMPTS = 12
-"""How often a changed record is read and written again before giving up."""
+"""Compare-and-swap attempts on a budget record before giving up."""
 
 
 @dataclass(slots=True, frozen=True)
 class BudgetUnreachable:
-    """The key-value service did not answer, so no tokens could be drawn."""
+    """Failure to draw tokens because the budget record could not be read or written."""
 
     wanted: int
 
@@ -26,10 +26,11 @@
 
 @dataclass(slots=True)
 class Holding:
-    """What this incarnation holds of one workspace's budget.
+    """State of this incarnation's allotment of one workspace's budget.
 
-    ``sequence`` numbers the last operation tried on the budget record; ``has_unknown_write`` means
-    that its answer was lost. ``record`` is the record as last read. Times are in monotonic seconds.
+    ``sequence`` is the number of the last operation on the budget record, and ``has_unknown_write``
+    tells that its answer was lost. ``record`` is the budget record as last read or written.
+    ``next_settlement`` is set and replaced at each settlement. Times are in monotonic seconds.
     """
 
     ledger: Ledger = field(default_factory=Ledger)
@@ -44,7 +45,7 @@
 
 
 def decode_budget(workspace: WorkspaceId, entry: KvEntry | None) -> BudgetRecord:
-    """Decode a budget record; an absent one is empty."""
+    """Decode a budget record; return an empty record if the key is absent."""
     if entry is None:
         return BudgetRecord(workspace)
     return msgspec.json.decode(entry.value, type=BudgetRecord)
--- a/packages/quinceferry-daemon/src/quinceferryd/journal.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/journal.py
@@ -19,15 +19,15 @@
 from quinceferryd.settings import JournalSettings
 
 MAX_FLEET_COMMITS_PER_SECOND = 125.0
-"""Commits of all routers together. A larger fleet commits more rarely, more entries at a time, so
-that journals take about a third of the writes that the key-value service admits."""
+"""Commit rate of all routers together. In a larger fleet each router commits less often and more
+entries at a time, so that journals use about a third of the write rate of the key-value service."""
 
 _APPEND_STEP = "journal.append"
 
 
 @dataclass(slots=True)
 class PendingEntry:
-    """An entry that waits for its commit; ``committed`` fails with ``FencedError``."""
+    """A journal entry and its commit; ``committed`` fails with ``FencedError`` if it is fenced."""
 
     entry: Entry
     position: int
@@ -35,18 +35,19 @@
 
     @property
     def copy(self) -> EntryCopy:
-        """Return the entry as other routers hold it."""
+        """Return the entry and its position, in the form that other routers hold."""
         return EntryCopy(self.position, self.entry)
 
 
 class JournalWriter(TaskGroupController):
-    """Appends entries of one incarnation, many in one slot.
+    """Appends the entries of one incarnation to its journal, in batches of one slot.
 
-    Entries become durable in the order of their appending. The first conflict with a closing slot
-    fences the writer for good; entries not committed by then are returned by ``take_uncommitted``.
+    Entries become durable in the order in which they were appended. The first conflict with a
+    closing slot fences the writer permanently; ``take_uncommitted`` then returns the entries that
+    were not committed.
 
     :param on_fenced: called once when another router has closed the journal.
-    :param count_members: counts the routers that share the key-value service.
+    :param count_members: returns the number of routers that share the key-value service.
     """
 
     def __init__(
@@ -77,21 +78,21 @@
         self._is_drained.set()
 
     async def start(self) -> None:
-        """Start the commit loop."""
+        """Start the task that commits queued entries."""
         self.spawn(self._commit_forever(), "journal")
 
     def append(self, entry: Entry) -> PendingEntry:
-        """Queue an entry.
+        """Queue an entry for the next commit.
 
-        :return: the entry with a future that ends when it is durable.
+        :return: the entry with a future that completes when the entry is durable.
         """
         committed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        # Most callers do not wait for a settlement; an unread failure must not be reported.
+        # Most callers do not await a settlement, and asyncio would log the unretrieved exception.
         committed.add_done_callback(_retrieve_exception)
         appended = PendingEntry(entry, self.next_position, committed)
         self._queue.append(appended)
         if self.fenced:
-            # Kept for take_uncommitted: a settlement belongs in the journal that follows.
+            # It stays queued for take_uncommitted: settlements go to the next journal.
             committed.set_exception(self._fenced_error())
             return appended
         self.next_position += 1
@@ -106,21 +107,21 @@
 
     @property
     def durable_before(self) -> int:
-        """Return the position of the first entry that is not known to be durable."""
+        """Return the position of the first entry that may not be durable yet."""
         return self._queue[0].position if self._queue else self.next_position
 
     async def flush(self) -> None:
-        """Wait until every queued entry is durable or the writer is fenced."""
+        """Wait until all queued entries are durable or the writer is fenced."""
         await self._is_drained.wait()
 
     def take_uncommitted(self) -> list[Entry]:
-        """Remove and return the entries of a fenced writer that are not durable."""
+        """Remove and return the entries that a fenced writer did not commit."""
         entries = [pending.entry for pending in self._queue]
         self._queue.clear()
         return entries
 
     async def _commit_forever(self) -> None:
-        """Commit whatever is queued, at most once in each interval."""
+        """Commit the queued entries, at most one batch per commit interval."""
         while not self.fenced:
             await self._has_entries.wait()
             self._has_entries.clear()
@@ -133,7 +134,7 @@
             await self._clock.sleep(self._commit_interval())
 
     def _commit_interval(self) -> float:
-        """Return the least time between two commits, which grows with the fleet."""
+        """Return the minimum time between two commits, which grows with the fleet."""
         fleet_interval = self._count_members() / MAX_FLEET_COMMITS_PER_SECOND
         return max(self._settings.min_commit_interval_seconds, fleet_interval)
 
@@ -143,9 +144,9 @@
         return [self._queue[index] for index in range(size)]
 
     async def _commit(self, batch: list[PendingEntry]) -> None:
-        """Write one slot, however often the service has to be asked."""
-        # The same content is sent until it is known to be there or another content is: an earlier
-        # try may still take effect.
+        """Write a batch as one slot; retry until it is written or the writer is fenced."""
+        # Every retry sends the same value, because an earlier attempt may still take effect. It
+        # ends when the slot is known to hold this batch or another value.
         name = f"{self.incarnation}/{self._rng.getrandbits(64):016x}"
         value = msgspec.json.encode(
             Slot(name, tuple(pending.entry for pending in batch), first=batch[0].position)
@@ -160,9 +161,9 @@
                 await self._clock.sleep(backoff.next_delay_seconds())
 
     async def _write(self, value: bytes, name: str) -> bool:
-        """Try to create the next slot.
+        """Try to create the next slot; fence the writer if the slot holds anything else.
 
-        :return: whether the slot holds this batch; a closing slot fences the writer instead.
+        :return: whether the slot holds this batch.
         """
         key = slot_key(self.incarnation, self.next_slot)
         try:
@@ -178,7 +179,7 @@
         return True
 
     def _complete_batch(self, batch: list[PendingEntry]) -> None:
-        """Release the waiters of a durable batch."""
+        """Remove a durable batch from the queue and complete its futures."""
         self.next_slot += 1
         self.commits += 1
         for pending in batch:
@@ -187,7 +188,7 @@
                 pending.committed.set_result(None)
 
     def fence(self) -> None:
-        """Refuse all entries from now on; entries not durable fail with ``FencedError``."""
+        """Stop committing; uncommitted and later entries fail with ``FencedError``."""
         if self.fenced:
             return
         self.fenced = True
@@ -198,11 +199,11 @@
         self._on_fenced()
 
     def _fenced_error(self) -> FencedError:
-        """Return the error of a closed journal."""
+        """Return the error for entries of a closed journal."""
         return FencedError("the journal was closed", step=_APPEND_STEP, peer=self.incarnation)
 
 
 def _retrieve_exception(future: asyncio.Future[None]) -> None:
-    """Mark a future's exception as retrieved."""
+    """Retrieve a future's exception, so that asyncio does not log it."""
     if not future.cancelled():
         future.exception()
--- a/packages/quinceferry-daemon/src/quinceferryd/proofs.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/proofs.py
@@ -1,4 +1,4 @@
-"""What the journal of a closed incarnation proves about a request."""
+"""Reads journals and proves from a closed journal that a request did not run."""
 
 import msgspec
 
@@ -18,7 +18,7 @@
 
 
 async def read_segments(kv: KvStore, incarnation: IncarnationId) -> JournalState:
-    """Read the folded part of a journal.
+    """Read the compacted part of a journal.
 
     :raises KvUnavailableError: the key-value service did not answer.
     """
@@ -33,7 +33,7 @@
 
     :raises KvUnavailableError: the key-value service did not answer.
     """
-    # Slots are read before segments: a slot folded in between is then found in its segment.
+    # Slots are read before segments, so that a slot compacted in between is found in its segment.
     slots = await kv.list(f"{JOURNAL_PREFIX}{incarnation}/")
     state = await read_segments(kv, incarnation)
     for entry in slots:
@@ -43,16 +43,16 @@
 
 
 class JournalProofs:
-    """Judges requests whose home is gone."""
+    """Determines the outcome of requests whose home router has been closed."""
 
     def __init__(self, kv: KvStore) -> None:
         self._kv = kv
 
     async def outcome(self, ticket: Ticket, key: RequestKey) -> Outcome:
-        """Return ``NotRun`` only if the closed journal of the home proves it.
+        """Return ``NotRun`` if the closed journal of the home router proves it, else ``Unknown``.
 
-        The proof holds because the home makes an entry durable before it sends such a request, and
-        a closed journal takes no more entries.
+        The proof is valid because the home router makes an entry durable before it sends such a
+        request, and a closed journal accepts no more entries.
         """
         if not ticket.journaled:
             return Unknown()
--- a/packages/quinceferry-daemon/src/quinceferryd/recording.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recording.py
@@ -1,4 +1,4 @@
-"""Records what a request is about to run and what it came to: reservation, journal, bill."""
+"""Records the attempts of a request in the budget and the journal, and settles its bill."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 from quinceferryd.stream_results import StreamResult
 
 RETRY_SECONDS = 2.0
-"""When to ask again after a refusal that another router need not share."""
+"""Retry delay for callers after a refusal that is specific to this router."""
 
 NEVER_SENT = NotRun(NotRunProof.NEVER_SENT)
 
@@ -29,7 +29,7 @@
     RefusalReason.BILLING_UNREACHABLE,
     NEVER_SENT,
     RETRY_SECONDS,
-    "the bill cannot be recorded now",
+    "the journal entry for billing could not be written",
     step="journal.append",
 )
 
@@ -37,22 +37,23 @@
     RefusalReason.BUDGET_UNREACHABLE,
     Unknown(),
     RETRY_SECONDS,
-    "there are no tokens for another attempt",
+    "there are not enough tokens for another attempt",
     step="budget.reserve",
 )
 
 
 def router_not_ready_refusal(step: str) -> Failed:
-    """Return the refusal of a router that has no incarnation to run a request under."""
-    detail = "this router is not a member of the fleet now"
+    """Return the refusal of a router that has no open incarnation to run a request under."""
+    detail = "this router is currently not a member of the fleet"
     return Failed(RefusalReason.ROUTER_NOT_READY, NEVER_SENT, RETRY_SECONDS, detail, step=step)
 
 
 @dataclass(slots=True)
 class Execution:
-    """One request in progress under one account.
+    """A request in progress and the account that pays for it.
 
-    ``token_cap`` bounds prompt and output of each attempt; ``attempts`` counts the reservations.
+    ``token_cap`` limits the prompt and output tokens of each attempt; ``attempts`` is the number of
+    attempts for which tokens were reserved.
     """
 
     request: CallerRequest
@@ -64,7 +65,7 @@
 
 
 class RequestRecorder:
-    """Keeps budget and journal in step with the attempts of a request."""
+    """Updates the budget and the journal for the attempts of a request."""
 
     def __init__(
         self,
@@ -85,9 +86,11 @@
     async def begin(
         self, execution: Execution, upstream: UpstreamSpec, attempt: int
     ) -> Failed | None:
-        """Reserve for a further attempt and make its journal entry durable before it is sent.
+        """Reserve tokens for an attempt and record it in the journal, before it is sent.
 
-        :return: why the attempt must not be sent, or None.
+        The tokens of the first attempt are already reserved.
+
+        :return: the reason why the attempt must not be sent, or None.
         """
         if execution.attempts > 0:
             failed = await self._reserve_for_retry(execution)
@@ -104,7 +107,7 @@
             return router_not_ready_refusal("journal.append")
 
     def settle(self, execution: Execution) -> PendingEntry | None:
-        """Charge the budget and append the bill for whatever may have run."""
+        """Charge the budget for all attempts that may have run, and append the bill."""
         request, account = execution.request, execution.account
         bill = compute_bill(execution.result, execution.token_cap, request.max_output_tokens)
         spent = bill.tokens + bill.lost
@@ -126,9 +129,10 @@
         return self._accounts.settle(account, entry)
 
     async def wait_until_recorded(self, settled: PendingEntry) -> None:
-        """Wait until a bill outlives this router: durable, or held by another router.
+        """Wait until a bill survives a crash of this router: it is durable or held by a peer.
 
-        A router that reaches neither gives up after some seconds, since its caller has the text.
+        The wait is limited to ``commit_patience_seconds``, because the caller already has the
+        output.
         """
         deadline = self._clock.monotonic() + self._settings.commit_patience_seconds
         wait_seconds = self._commit_wait_seconds(requires_durable_entry=False)
@@ -139,7 +143,7 @@
             wait_seconds = self._settings.copy_after_seconds
 
     async def _reserve_for_retry(self, execution: Execution) -> Failed | None:
-        """Reserve tokens for one more attempt, since the one before may be charged as well."""
+        """Reserve tokens for another attempt, because the previous one may be charged too."""
         reservation = await self._shortages.reserve_or_find_holders(
             execution.account, execution.request, execution.token_cap
         )
@@ -152,8 +156,11 @@
                 return None
 
     async def _commit(self, execution: Execution, begin: Begin) -> Failed | None:
-        """Wait for an entry to be durable, or use tokens that may be spent without.
+        """Wait for an entry to become durable, or use tokens that need no durable entry.
+
+        After a timeout the request uses outage tokens, and a peer must hold a copy of the entry.
 
+        :return: the reason why the attempt must not be sent, or None.
         :raises FencedError: another router has closed this incarnation.
         """
         appended = execution.account.journal.append(begin)
@@ -175,7 +182,7 @@
         return None if is_held else BILLING_UNREACHABLE
 
     def _commit_wait_seconds(self, requires_durable_entry: bool) -> float:
-        """Return how long to wait for a commit, in seconds; not at all during an outage."""
+        """Return how long to wait for a commit, in seconds; zero during an outage."""
         if not self._blackboard.kv.available:
             return 0.0
         if requires_durable_entry:
@@ -184,7 +191,7 @@
 
 
 def _requires_durable_entry(request: CallerRequest) -> bool:
-    """Tell whether others take the journal's silence as proof that the request did not run."""
+    """Return whether other routers take a missing entry as proof that the request did not run."""
     if request.idempotent:
         return False
     return request.ticket is None or request.ticket.journaled
--- a/packages/quinceferry-daemon/src/quinceferryd/recovered_budgets.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovered_budgets.py
@@ -1,4 +1,4 @@
-"""Frees what a closed incarnation provably did not spend of its allotments."""
+"""Frees the allotted tokens that a closed incarnation has provably not spent."""
 
 import msgspec
 
@@ -12,14 +12,14 @@
 
 
 class BudgetRecoverer:
-    """Closes and retires the allotments of one incarnation after another."""
+    """Closes and retires the allotments of closed incarnations."""
 
     def __init__(self, kv: KvStore, counters: RecoveryCounters) -> None:
         self._kv = kv
         self._counters = counters
 
     async def budgets_held_by(self, incarnation: IncarnationId) -> list[KvEntry]:
-        """Return the budget records in which an incarnation has an allotment."""
+        """Return the entries of the budget records in which an incarnation has an allotment."""
         entries = await self._kv.list(BUDGET_PREFIX)
         return [
             entry for entry in entries if incarnation in _decode(entry).allotments_by_incarnation
@@ -32,7 +32,10 @@
         owner: IncarnationRecord,
         entry: KvEntry,
     ) -> None:
-        """Free what is proven unspent, or leave it to the next check after a conflict."""
+        """Close an allotment and free its provably unspent tokens.
+
+        After a conflict nothing is changed; the next check repeats the call.
+        """
         record = _decode(entry)
         workspace = record.workspace
         allotment = record.allotments_by_incarnation[owner.incarnation]
@@ -54,9 +57,9 @@
         owner: IncarnationRecord,
         entry: KvEntry,
     ) -> None:
-        """Replace an allotment by what was spent and what may have been spent of it.
+        """Replace an allotment by its known spending, and withhold what may also be spent.
 
-        :raises KvConflictError: the record changed meanwhile; the next check tries again.
+        :raises KvConflictError: the record changed concurrently; the next check repeats the call.
         """
         record = _decode(entry)
         workspace = record.workspace
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery.py
@@ -1,4 +1,4 @@
-"""Recovers the tokens and bills of incarnations that are gone."""
+"""Recovers the tokens and bills of incarnations that have lost their lease."""
 
 from random import Random
 
@@ -27,16 +27,17 @@
 from quinceferryd.vms import VmListController
 
 MAX_FLEET_CHECKS_PER_SECOND = 10.0
-"""Checks of all routers together, each a read of all incarnations; a larger fleet checks more
-rarely, so that what a router reads does not grow with it."""
+"""Check rate of all routers together. A check reads all incarnation records; in a larger fleet each
+router checks less often, so that its read rate does not grow with the fleet."""
 
 
 class RecoveryController(TaskGroupController):
-    """Closes incarnations without a lease, and frees what they provably did not spend.
+    """Closes incarnations without a lease and frees the tokens that they provably did not spend.
 
-    A closed journal proves that its owner sends nothing it has not recorded, but for the tokens
-    meant for outages. Those and attempts of unknown use stay counted until the owner accounts for
-    them itself, or its process is proven gone; then they are withheld from the workspace.
+    A closed journal proves that its owner sends only recorded attempts, except for attempts paid
+    from outage tokens. The outage tokens and the attempts of unknown use stay allotted until the
+    owner settles them itself or its process has provably terminated; in the latter case they are
+    withheld from the workspace.
     """
 
     def __init__(
@@ -69,13 +70,13 @@
         self._cases_by_incarnation: dict[IncarnationId, RecoveryCase] = {}
 
     async def start(self) -> None:
-        """Start looking for incarnations that are gone."""
+        """Start checking for incarnations without a lease."""
         self.spawn(self._check_forever(), "recovery")
 
     async def check(self) -> None:
-        """Look at all incarnations once.
+        """Check all incarnations once.
 
-        :raises KvError: the key-value service did not answer.
+        :raises KvError: a call to the key-value service failed.
         """
         owners = self._copies.owners()
         entries = await self._kv.list(INCARNATION_PREFIX)
@@ -90,13 +91,13 @@
             await self._check_one(entry, record, others)
 
     async def _check_forever(self) -> None:
-        """Look again and again, while this router serves and the service answers."""
+        """Check periodically while this router serves and the key-value service is available."""
         while True:
             await self._clock.sleep(self._check_interval() * self._rng.uniform(0.8, 1.2))
             if self._blackboard.state is not RouterState.SERVING:
                 continue
             if not self._blackboard.kv.available:
-                # Leases lapse during an outage, so absence is counted anew after it.
+                # Leases lapse during an outage, so the absence times start again after it.
                 self._cases_by_incarnation.clear()
                 continue
             try:
@@ -112,7 +113,7 @@
     async def _check_one(
         self, entry: KvEntry, record: IncarnationRecord, others: tuple[IncarnationRecord, ...]
     ) -> None:
-        """Recover one incarnation if it has been absent for long enough."""
+        """Recover one incarnation if it has been without a lease for long enough."""
         incarnation = record.incarnation
         if incarnation in self._blackboard.members_by_incarnation:
             self._cases_by_incarnation.pop(incarnation, None)
@@ -144,7 +145,7 @@
         record: IncarnationRecord,
         proof: AbsenceProof | None,
     ) -> None:
-        """Close the allotments, or retire them once nobody can tell more."""
+        """Close the allotments, or retire them when no more of the spending can become known."""
         allotment_entries = await self._budgets.budgets_held_by(record.incarnation)
         if proof is None or not self._can_retire(case, journal, record, proof):
             for budget in allotment_entries:
@@ -157,7 +158,10 @@
         self.counters.retired += 1
 
     def _required_absence_seconds(self, incarnation: IncarnationId) -> float:
-        """Return how long an incarnation must be absent, in seconds; routers act in turn."""
+        """Return how long an incarnation must be absent before this router recovers it, in seconds.
+
+        The time grows with this router's rank for the incarnation, so that routers act in turn.
+        """
         members = sorted(self._blackboard.members_by_incarnation)
         own = self._blackboard.identity.incarnation
         order = rendezvous_order(incarnation, members)
@@ -171,10 +175,10 @@
         record: IncarnationRecord,
         proof: AbsenceProof,
     ) -> bool:
-        """Tell whether nobody is expected to account for more of the spending.
+        """Return whether no further information on the spending is expected.
 
-        A process that has joined again may still know exactly what it spent, and an upstream or a
-        holder of copies that failed to answer may do so later. Recovered bills must be durable.
+        A process that has rejoined may still settle its exact spending, and an upstream or a holder
+        of copies that did not answer may answer later. Recovered bills must be durable first.
         """
         if any(not committed.done() for committed in case.commits):
             return False
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery_cases.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery_cases.py
@@ -1,4 +1,4 @@
-"""What one router has found out about an incarnation that it recovers."""
+"""State of the recovery of one incarnation."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class RecoveryCounters:
-    """Counts since start, for metrics; tokens freed and withheld are those of all workspaces."""
+    """Counts since the start of the process, for metrics; tokens are summed over workspaces."""
 
     closed: int = 0
     retired: int = 0
@@ -25,11 +25,11 @@
 
 @dataclass(slots=True)
 class RecoveryCase:
-    """One incarnation under recovery; times are in monotonic seconds.
+    """An incarnation under recovery; times are in monotonic seconds.
 
-    ``answered_holders`` are the holders whose copies are known, ``adopted_positions`` the positions
-    of bills taken over from copies, ``commits`` the futures of bills that this router has written
-    for it.
+    ``answered_holders`` are the holders that returned their copies, ``adopted_positions`` the
+    positions of the bills recovered from copies, and ``commits`` the commits of the bills that this
+    router appended for the incarnation.
     """
 
     absent_since: float
@@ -41,16 +41,19 @@
     adopted_positions: set[int] = field(default_factory=set)
 
     def add_copies(self, holder: IncarnationId, copies: tuple[EntryCopy, ...]) -> None:
-        """Take over the answer of one holder."""
+        """Store the copies that one holder returned."""
         self.answered_holders.add(holder)
         self.copies_by_position.update((copy.position, copy) for copy in copies)
 
     def has_all_copies(self, record: IncarnationRecord) -> bool:
-        """Tell whether everything the incarnation sent is in its journal or in known copies."""
+        """Return whether all registered holders answered.
+
+        If they did, the journal and the copies contain every attempt that the incarnation sent.
+        """
         return bool(record.copy_holders) and self.answered_holders.issuperset(record.copy_holders)
 
     def apply_copies(self, journal: JournalState, owner: IncarnationId, account: Account) -> None:
-        """Continue a closed journal with the copies, and write their bills to an open journal."""
+        """Apply the copies to the closed journal's state and append their bills to ``account``."""
         for position in sorted(self.copies_by_position):
             entry = self.copies_by_position[position].entry
             is_new = journal.apply(position, entry, owner)
@@ -61,19 +64,19 @@
                 committed.add_done_callback(partial(self._discard_failed_adoption, position))
 
     def settle(self, key: RequestKey, entry: Settle, account: Account) -> None:
-        """Write the bill of a request that the incarnation left open."""
+        """Append the bill of a request that the incarnation left unsettled."""
         self.settled_by_request[key] = entry
         committed = account.journal.append(entry).committed
         self.commits.append(committed)
         committed.add_done_callback(partial(self._discard_failed_settlement, key))
 
     def is_fully_settled(self, journal: JournalState) -> bool:
-        """Tell whether every request is settled and every bill durable."""
+        """Return whether every request is settled and every appended bill is durable."""
         is_durable = all(committed.done() for committed in self.commits)
         return is_durable and journal.begins_by_request.keys() <= self.settled_by_request.keys()
 
     def known_spent(self, journal: JournalState, workspace: WorkspaceId) -> int:
-        """Return the tokens known to be spent of one workspace's allotment."""
+        """Return the tokens of one workspace's allotment that are known to be spent."""
         recovered = sum(
             entry.used + entry.lost
             for key, entry in self.settled_by_request.items()
@@ -88,7 +91,11 @@
         workspace: WorkspaceId,
         allotment: Allotment,
     ) -> int:
-        """Return the tokens that may have been spent without anybody knowing."""
+        """Return the tokens that may have been spent but are neither settled nor recorded.
+
+        These are the reservations of unsettled attempts and, unless all copies are known, the
+        outage tokens.
+        """
         unsettled = sum(
             begin.reserved
             for key, begins in journal.begins_by_request.items()
@@ -98,11 +105,11 @@
         return unsettled if self.has_all_copies(record) else unsettled + allotment.outage_tokens
 
     def _discard_failed_settlement(self, key: RequestKey, committed: asyncio.Future[None]) -> None:
-        """Have a request settled again whose bill did not become durable."""
+        """Forget a settlement whose bill did not become durable, so that it is repeated."""
         if committed.cancelled() or committed.exception() is not None:
             self.settled_by_request.pop(key, None)
 
     def _discard_failed_adoption(self, position: int, committed: asyncio.Future[None]) -> None:
-        """Have a bill written again that did not become durable."""
+        """Forget a recovered bill that did not become durable, so that it is appended again."""
         if committed.cancelled() or committed.exception() is not None:
             self.adopted_positions.discard(position)
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery_evidence.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery_evidence.py
@@ -1,4 +1,4 @@
-"""Closes an incarnation and finds out what it ran."""
+"""Closes an incarnation and collects evidence of what it ran."""
 
 from dataclasses import replace
 from random import Random
@@ -33,7 +33,7 @@
 
 
 class EvidenceCollector:
-    """Gathers what the journal, the holders of copies and the upstreams tell."""
+    """Collects evidence from the journal, the holders of copies and the upstreams."""
 
     def __init__(
         self,
@@ -54,10 +54,11 @@
         self._counters = counters
 
     async def close_record(self, entry: KvEntry, record: IncarnationRecord) -> None:
-        """Mark an incarnation as closed; the next check goes on from there.
+        """Mark an incarnation as closed; the next check continues the recovery.
 
-        The heartbeat is looked for after the record was read: a router that takes a new lease
-        writes them in the other order, so that it is either seen here or makes the swap fail.
+        The heartbeat record is read after the incarnation record. A router that acquires a new
+        lease writes the two in the opposite order, so either its heartbeat is found here or its
+        write makes the compare-and-swap fail.
         """
         if await self._kv.get(member_key(record.incarnation)) is not None:
             return
@@ -69,7 +70,7 @@
         self._counters.closed += 1
 
     async def close_journal(self, incarnation: IncarnationId) -> JournalState:
-        """Append the closing slot if it is missing, and return the whole journal."""
+        """Append the closing slot if it is missing, and return the state of the whole journal."""
         while True:
             journal = await read_journal(self._kv, incarnation)
             if journal.closed_by:
@@ -88,11 +89,11 @@
         record: IncarnationRecord,
         others: tuple[IncarnationRecord, ...],
     ) -> None:
-        """Ask the registered holders for copies of entries that did not become durable.
+        """Collect the copies of entries that did not become durable from the registered holders.
 
-        A holder that was closed itself may have joined again: its process still has the copies.
+        A holder that was closed itself may have rejoined; its process still has the copies.
 
-        :param others: records of other incarnations, which tell where a holder lives.
+        :param others: records of other incarnations, which contain the holders' addresses.
         """
         address_by_incarnation = {other.incarnation: other.address for other in others}
         for holder in record.copy_holders:
@@ -106,7 +107,7 @@
                 case.add_copies(holder, reply.copies)
 
     async def _request_copies(self, address: str, request: CollectRequest) -> CollectReply:
-        """Ask whichever router lives at an address for its copies."""
+        """Request the copies of the router at an address."""
         if not address:
             return CollectReply(False)
         try:
@@ -121,9 +122,9 @@
         incarnation: IncarnationId,
         account: Account,
     ) -> None:
-        """Bill the requests in progress whose upstreams can tell what they used.
+        """Bill the unsettled requests whose upstreams report how many tokens they used.
 
-        Each recorded attempt was sent at most once, so a use that the upstream tells is final.
+        Each recorded attempt was sent at most once, so the use that an upstream reports is final.
         """
         for key, begins in journal.begins_by_request.items():
             if key in case.settled_by_request:
@@ -145,7 +146,7 @@
             self._counters.requests_settled += 1
 
     async def _cancel_attempt(self, incarnation: IncarnationId, begin: Begin) -> int | None:
-        """Stop one attempt at its upstream; return its use, or None if nobody can tell."""
+        """Cancel an attempt at its upstream; return its used tokens, or None if unknown."""
         upstream = self._blackboard.configuration.upstreams_by_id.get(begin.upstream)
         if upstream is None:
             return None
@@ -157,10 +158,10 @@
             return None
 
     async def is_process_reachable(self, record: IncarnationRecord) -> bool:
-        """Tell whether the process still answers, so that its callers may have open streams.
+        """Return whether the process still answers, in which case callers may have open streams.
 
-        It may only be cut off from the key-value service. Its runs are then left alone; what it
-        reserved for them stays counted.
+        It may only be partitioned from the key-value service. Its attempts are then not cancelled,
+        and their reserved tokens remain counted.
         """
         try:
             await self._peers.ask_outcome(record.address, _PROBE_WORKSPACE, _PROBE_REQUEST)
--- a/packages/quinceferry-daemon/src/quinceferryd/retention.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/retention.py
@@ -1,4 +1,4 @@
-"""Folds the journals of incarnations that are gone, and drops bills that are old."""
+"""Compacts the journals of retired incarnations and deletes bills after their retention time."""
 
 from contextlib import suppress
 from datetime import timedelta
@@ -29,14 +29,14 @@
 
 CHECK_INTERVAL_SECONDS = 600.0
 PROOF_RETENTION_SECONDS = 7200.0
-"""How long a closed journal keeps its slots after its incarnation is retired. They prove what did
-not run to callers whose tickets name it, and tickets live for an hour."""
+"""How long the slots of a closed journal are kept after its incarnation is retired. They prove to
+callers whose tickets name it which requests did not run; a ticket is valid for one hour."""
 
 _TASK_NAME = "retention"
 
 
 class RetentionController(TaskGroupController):
-    """Keeps the lasting keys bounded; one router at a time does it for the fleet."""
+    """Bounds the number of journal and segment keys; one router at a time does it for the fleet."""
 
     def __init__(
         self,
@@ -56,17 +56,18 @@
         self._record_missing_since_by_owner: dict[IncarnationId, float] = {}
 
     async def start(self) -> None:
-        """Start checking at intervals."""
+        """Start checking periodically."""
         self.spawn(self._check_forever(), _TASK_NAME)
 
     async def check(self) -> None:
-        """Fold and drop what is due.
+        """Compact the journals and delete the segments that are due.
 
-        :raises KvError: the key-value service did not answer, or a key changed; call again.
+        :raises KvError: a call to the key-value service failed or a key changed; repeat the call.
         """
         slots = await self._kv.list(JOURNAL_PREFIX)
         segments = await self._kv.list(SEGMENT_PREFIX)
-        # Records are read last: an owner without one then had none when its keys were written.
+        # Incarnation records are read last. An incarnation writes its record before any journal
+        # key, so an owner without a record is retired or has a journal of bills only.
         recorded_incarnations = await self._read_incarnations()
         await self._compact_terminated(
             [entry for entry in slots if owner_from_key(entry.key) not in recorded_incarnations]
@@ -74,7 +75,7 @@
         await self._delete_expired_segments(segments, recorded_incarnations)
 
     async def _check_forever(self) -> None:
-        """Check again and again while this router is the one to do it."""
+        """Check periodically while this router is the elected one."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2))
             if not self._is_elected():
@@ -86,19 +87,19 @@
                 continue
 
     def _is_elected(self) -> bool:
-        """Tell whether this router is the first in the order of all."""
+        """Return whether this router serves and ranks first among all routers."""
         is_able = self._blackboard.state is RouterState.SERVING and self._blackboard.kv.available
         order = rendezvous_order(_TASK_NAME, sorted(self._blackboard.members_by_incarnation))
         return is_able and order[:1] == [self._blackboard.identity.incarnation]
 
     async def _read_incarnations(self) -> set[IncarnationId]:
-        """Return the incarnations that still have a record."""
+        """Return the incarnations that have an incarnation record."""
         entries = await self._kv.list(INCARNATION_PREFIX)
         records = (msgspec.json.decode(entry.value, type=IncarnationRecord) for entry in entries)
         return {record.incarnation for record in records}
 
     async def _compact_terminated(self, entries: list[KvEntry]) -> None:
-        """Fold the journals of incarnations whose record has been gone for long enough."""
+        """Compact the journals whose owners have had no incarnation record for long enough."""
         now = self._clock.monotonic()
         owners = {owner_from_key(entry.key) for entry in entries}
         for owner in self._record_missing_since_by_owner.keys() - owners:
@@ -111,7 +112,7 @@
                 )
 
     async def _compact_journal(self, entries: list[KvEntry]) -> None:
-        """Replace all slots of one journal by segments of their bills."""
+        """Replace all slots of one journal by segments that contain their bills."""
         while entries:
             bills: list[Settle] = []
             slot_count = 0
@@ -125,13 +126,13 @@
             entries = entries[slot_count:]
 
     async def _replace_slots(self, entries: list[KvEntry], bills: list[Settle]) -> None:
-        """Write the bills of some slots as a segment, then delete the slots."""
+        """Write the bills of the given slots as a segment, then delete the slots."""
         first = slot_number(entries[0].key)
         last = slot_number(entries[-1].key)
         segment = Segment(first, last + 1, tuple(bills), {}, folded_at=self._clock.now())
         if bills:
             key = segment_key(owner_from_key(entries[0].key), first)
-            # An earlier try may have written it, and been interrupted while deleting the slots.
+            # An earlier attempt may have written it and failed while deleting the slots.
             with suppress(KvConflictError):
                 await self._kv.put_if(key, msgspec.json.encode(segment), ABSENT_VERSION)
         for entry in entries:
@@ -140,7 +141,11 @@
     async def _delete_expired_segments(
         self, segments: list[KvEntry], recorded_incarnations: set[IncarnationId]
     ) -> None:
-        """Delete segments past their time, but for the last of a live journal with its totals."""
+        """Delete expired segments.
+
+        The last segment of an owner that has an incarnation record is kept, because it contains
+        the totals of the journal.
+        """
         oldest_kept_at = self._clock.now() - timedelta(days=self._settings.bill_retention_days)
         last_key_by_owner = {owner_from_key(entry.key): entry.key for entry in segments}
         for entry in segments:
--- a/packages/quinceferry-daemon/src/quinceferryd/shares.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shares.py
@@ -1,4 +1,4 @@
-"""This router's parts of the workspaces' fleet-wide limits."""
+"""Division of the workspaces' fleet-wide limits among the routers."""
 
 import math
 from dataclasses import dataclass, field
@@ -18,20 +18,20 @@
 from quinceferryd.blackboard import Blackboard
 
 UPDATE_INTERVAL_SECONDS = 0.5
-"""How often claims are recomputed; they travel with the next heartbeat."""
+"""Interval at which claims are recomputed; the next heartbeat publishes them."""
 CLAIM_WAIT_SECONDS = 6.0
-"""Two heartbeats: how long a share takes to move here."""
+"""Retry delay for callers: a share moves to this router within two heartbeats."""
 VM_ABSENCE_SECONDS = 30.0
-"""A lapsed router's VM counts as gone after it was absent from the VM list for this long."""
+"""Absence from the VM list after which the vm of a lapsed router counts as terminated."""
 DEMAND_HALF_LIFE_SECONDS = 20.0
-"""Time in which the smoothed demand of a silent workspace halves."""
+"""Half-life of the smoothed demand of a workspace without requests."""
 MIN_PUBLISHED_DEMAND = 0.02
-"""Requests a second below which a router publishes no demand."""
+"""Smoothed demand, in requests per second, below which a router publishes zero."""
 
 
 @dataclass(slots=True)
 class _WorkspaceShare:
-    """This router's parts of one workspace's rates and concurrent streams."""
+    """This router's share of one workspace's rate limits and concurrent streams."""
 
     rate: ClaimedShare = field(default_factory=ClaimedShare)
     streams: ClaimedShare = field(default_factory=ClaimedShare)
@@ -40,9 +40,9 @@
 
 
 class LimitShares:
-    """Claims parts of limits and admits requests within them.
+    """Claims shares of the limits and admits requests within them.
 
-    :param home_count: how many routers the callers of one workspace are sent to.
+    :param home_count: number of routers that the callers of one workspace are directed to.
     """
 
     def __init__(self, blackboard: Blackboard, clock: Clock, home_count: int = 3) -> None:
@@ -55,7 +55,7 @@
         self._absent_since: dict[IncarnationId, float] = {}
 
     def check(self, request: CallerRequest, tokens: int) -> Failed | None:
-        """Return the refusal of a request above its workspace's limits here, or None."""
+        """Return a refusal if the request exceeds its workspace's limits here, otherwise None."""
         limits = self._limits(request.workspace)
         if limits == Limits():
             return None
@@ -76,20 +76,20 @@
             self._share(request.workspace).meter.admit(limits, tokens)
 
     def revert_admission(self, request: CallerRequest, tokens: int) -> None:
-        """Take back the count of a request that was refused after all."""
+        """Revert the count of an admitted request that was refused later."""
         limits = self._limits(request.workspace)
         share = self._shares_by_id.get(request.workspace)
         if limits != Limits() and share is not None:
             share.meter.refund(limits, tokens)
 
     def count_completion(self, request: CallerRequest) -> None:
-        """Count the end of an admitted request."""
+        """Release the concurrent stream of an admitted request that has ended."""
         share = self._shares_by_id.get(request.workspace)
         if share is not None and share.meter.streams:
             share.meter.end_stream()
 
     def update(self) -> None:
-        """Recompute claims and the parts in use; called every ``UPDATE_INTERVAL_SECONDS``."""
+        """Recompute claims and usable shares; called every ``UPDATE_INTERVAL_SECONDS``."""
         self._reset_if_rejoined()
         self._update_known_members()
         claims = self._claims_by_workspace()
@@ -103,7 +103,7 @@
         self._blackboard.limit_claims = tuple(claim for claim in claims_here if not claim.is_empty)
 
     def usable_parts(self, workspace: WorkspaceId) -> tuple[float, int]:
-        """Return the share of the rates and the streams that this router may use."""
+        """Return the share of the rates and the number of streams that this router may use."""
         share = self._share(workspace)
         return share.rate.in_use, int(share.streams.in_use)
 
@@ -157,7 +157,7 @@
         share.streams.update_claim(target, claimed_by_others, fleet_limit, has_precedence)
 
     def _claim(self, workspace: WorkspaceId) -> LimitClaim:
-        """Return what the next heartbeat claims of a workspace."""
+        """Return the claim on a workspace's limits that the next heartbeat publishes."""
         share = self._shares_by_id[workspace]
         streams = int(share.streams.next_claim)
         return LimitClaim(workspace, share.rate.next_claim, streams, _quantize_demand(share.demand))
@@ -165,19 +165,19 @@
     def _weights(
         self, workspace: WorkspaceId, demand: float, others: dict[IncarnationId, LimitClaim]
     ) -> dict[IncarnationId, float]:
-        """Return the share of each live router, from the demand that it published."""
+        """Return the target share of each live router, computed from the published demands."""
         own = self._blackboard.identity.incarnation
         live = self._blackboard.members_by_incarnation
         demand_by_router = {
             router: claim.demand for router, claim in others.items() if router in live
         }
         demand_by_router[own] = demand
-        # The routers that address answers name must have a share before the first request comes.
+        # The routers named in address answers need a share before their first request arrives.
         homes = home_members(workspace, live.values(), self._home_count)
         return demand_weights(demand_by_router, [member.incarnation for member in homes] or [own])
 
     def _reset_if_rejoined(self) -> None:
-        """Drop all parts in use with the incarnation that claimed them; others may take them."""
+        """Drop all shares after a rejoin: other routers may claim those of the old incarnation."""
         own = self._blackboard.identity.incarnation
         if own == self._incarnation:
             return
@@ -187,7 +187,7 @@
             share.streams = ClaimedShare()
 
     def _update_known_members(self) -> None:
-        """Keep the last claims of lapsed routers until their VMs are proven gone."""
+        """Keep the last claims of lapsed routers until their vms are known to have terminated."""
         live = self._blackboard.members_by_incarnation
         self._known_by_incarnation.update(live)
         for incarnation, member in list(self._known_by_incarnation.items()):
@@ -217,7 +217,10 @@
         return claims
 
     def _read_published_claim(self, workspace: WorkspaceId) -> LimitClaim | None:
-        """Return the own claim as read; one left out of the record counts as empty."""
+        """Return this router's claim as last read from the store; empty if the record omits it.
+
+        :return: the claim, or None if the record has not been read.
+        """
         claims = self._blackboard.published_limit_claims
         if claims is None:
             return None
@@ -235,7 +238,7 @@
 
 
 def _quantize_demand(demand: float) -> float:
-    """Round a demand to two steps an octave, so that the heartbeat record changes rarely."""
+    """Round a demand to two steps per octave, so that the heartbeat record changes rarely."""
     if demand < MIN_PUBLISHED_DEMAND:
         return 0.0
     return 2.0 ** (round(2.0 * math.log2(demand)) / 2.0)
@@ -246,6 +249,6 @@
         reason,
         NotRun(NotRunProof.NEVER_SENT),
         retry_after_seconds,
-        detail="the workspace is above its limit at this router",
+        detail="the workspace exceeds its limit at this router",
         step="scheduling.enter",
     )
--- a/packages/quinceferry-daemon/src/quinceferryd/shortages.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shortages.py
@@ -1,4 +1,4 @@
-"""What a router does when its allotment does not cover a request."""
+"""Handles requests that need more tokens than this router's allotment has available."""
 
 import asyncio
 from dataclasses import dataclass
@@ -18,19 +18,19 @@
 from quinceferryd.settings import BudgetSettings
 
 BUSY_RETRY_SECONDS = 2.0
-"""When to ask again while tokens are reserved for requests in progress."""
+"""Retry delay for callers while tokens are reserved for requests in progress."""
 UNREACHABLE_RETRY_SECONDS = 5.0
-"""When to ask again while the budget record or a router that holds tokens cannot be reached."""
+"""Retry delay for callers while the budget record or a router with tokens is unreachable."""
 
 
 @dataclass(slots=True, frozen=True)
 class Reserved:
-    """The request's tokens are reserved here."""
+    """The tokens of the request are reserved at this router."""
 
 
 @dataclass(slots=True, frozen=True)
 class ForwardTo:
-    """Another router holds tokens; the request should run there."""
+    """Other routers hold tokens; the request should run at one of them."""
 
     members: tuple[Member, ...]
 
@@ -40,22 +40,23 @@
 
 @dataclass(slots=True)
 class _RecallResult:
-    """What the peers answered to a recall."""
+    """Tokens that peers returned and number of peers that were unreachable."""
 
     returned: int = 0
     unreachable: int = 0
 
 
 def may_forward(request: CallerRequest) -> bool:
-    """Tell whether another router may be asked to run a request that was not sent here."""
+    """Return whether the request may be forwarded: it is idempotent and not already forwarded."""
     return request.idempotent and not request.forwarded
 
 
 class ShortageHandler:
     """Finds tokens for a request beyond this router's own allotment.
 
-    While the key-value service answers, peers return unused tokens to the budget record, from which
-    this router draws them. During an outage no token can move safely, so the request moves instead.
+    While the key-value service is available, peers return unused tokens to the budget record, from
+    which this router draws them. During an outage tokens cannot be moved safely, so the request is
+    forwarded to a router that holds tokens.
     """
 
     def __init__(
@@ -74,9 +75,11 @@
     async def reserve_or_find_holders(
         self, account: Account, request: CallerRequest, tokens: int
     ) -> Result[ReserveOutcome, Failed]:
-        """Reserve tokens for a request, here or at a peer.
+        """Reserve tokens for a request at this router, or find peers that hold tokens.
 
-        :return: where the request can run, or a truthful refusal.
+        Wait for running requests to settle if no tokens are free, at most for the configured time.
+
+        :return: where the request can run, or the refusal that states why it cannot.
         """
         deadline = self._clock.monotonic() + self._settings.settle_wait_seconds
         while True:
@@ -100,7 +103,7 @@
     async def _recall_from_peers(
         self, account: Account, workspace: WorkspaceId, tokens: int
     ) -> _RecallResult:
-        """Ask peers for unused tokens until enough have come back; one recall at a time."""
+        """Recall unused tokens from peers until enough are returned; one recall at a time."""
         lock = self._locks_by_workspace.setdefault(workspace, asyncio.Lock())
         async with lock:
             recalled = _RecallResult()
@@ -114,7 +117,7 @@
     async def _recall_from(
         self, member: Member, workspace: WorkspaceId, wanted: int, recalled: _RecallResult
     ) -> None:
-        """Ask one peer for unused tokens."""
+        """Recall unused tokens from one peer and add the reply to ``recalled``."""
         try:
             reply = await self._peers.recall(member.address, workspace, wanted)
         except PeerUnavailableError:
@@ -123,7 +126,7 @@
         recalled.returned += reply.returned
 
     def _forward(self, account: Account, request: CallerRequest) -> Result[ReserveOutcome, Failed]:
-        """Choose peers that may run the request while no token can move."""
+        """Choose peers to forward the request to while tokens cannot be moved."""
         live_holders = self.live_holders(account, request.workspace) if may_forward(request) else ()
         if live_holders:
             return Success(ForwardTo(live_holders))
@@ -132,13 +135,13 @@
                 RefusalReason.BUDGET_UNREACHABLE,
                 NotRun(NotRunProof.NEVER_SENT),
                 UNREACHABLE_RETRY_SECONDS,
-                "the budget record cannot be reached and this router's allotment is used up",
+                "the budget record is unreachable and this router's allotment is too small",
                 step="budget.reserve",
             )
         )
 
     def live_holders(self, account: Account, workspace: WorkspaceId) -> tuple[Member, ...]:
-        """Return live peers that held tokens when the record was last read, most first."""
+        """Return the live peers with unspent tokens in the last read record, most tokens first."""
         holding = account.allotments.holdings_by_workspace.get(workspace)
         if holding is None or holding.record is None:
             return ()
@@ -160,7 +163,7 @@
     def _shortage_refusal(
         self, account: Account, request: CallerRequest, recalled: _RecallResult
     ) -> Failed:
-        """Tell whether the budget is spent, in use or partly out of reach."""
+        """Return the refusal that states whether the budget is spent, reserved or unreachable."""
         ledger = account.allotments.ledger(request.workspace)
         record = account.allotments.holdings_by_workspace[request.workspace].record
         tokens_held_by_others = 0
@@ -171,7 +174,7 @@
             )
         if recalled.unreachable and tokens_held_by_others > 0:
             reason, retry = RefusalReason.BUDGET_UNREACHABLE, UNREACHABLE_RETRY_SECONDS
-            detail = "a router that holds a part of the budget cannot be reached"
+            detail = "a router that holds part of the budget is unreachable"
         elif ledger.reserved > 0 or tokens_held_by_others > 0:
             reason, retry = RefusalReason.BUDGET_SPENT, BUSY_RETRY_SECONDS
             detail = "the rest of the budget is reserved for requests in progress"
