--- a/packages/quinceferry-daemon/src/quinceferryd/addresses.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/addresses.py
@@ -1,4 +1,4 @@
-"""Answers which routers the callers of a workspace should use."""
+"""Chooses the routers that the callers of a workspace should use."""
 
 from collections.abc import Callable
 
@@ -12,17 +12,17 @@
 from quinceferryd.settings import AddressSettings
 
 TicketIssuer = Callable[[WorkspaceId, Member], str]
-"""Returns a ticket that names a member as the home of non-idempotent requests."""
+"""Returns a ticket that names a member as the home router of non-idempotent requests."""
 
 
 class AddressController:
-    """Names routers that are serving and reachable, near the caller first.
+    """Answers with serving, reachable routers, those in the caller's zone first.
 
     :param blackboard: shared state.
     :param clock: source of time.
     :param settings: lifetime of answers and number of routers for each workspace.
-    :param issue_ticket: issuer of tickets.
-    :param peers: which routers were unreachable lately; None if that is not watched.
+    :param issue_ticket: issues the ticket of an answer.
+    :param peers: reachability of other routers; None if it is not tracked.
     """
 
     def __init__(
@@ -41,12 +41,12 @@
         self.answers = 0
 
     def answer(self, workspace: WorkspaceId, caller_zone: str = "") -> AddressAnswer:
-        """Return the current answer; it names no address when no router serves.
+        """Return the addresses for a workspace; there are none while no router serves.
 
-        The ticket names the first address as the home of non-idempotent requests.
+        The ticket names the router at the first address as the home of non-idempotent requests.
 
         :param workspace: the caller's workspace.
-        :param caller_zone: zone of the caller; empty means that of this router.
+        :param caller_zone: zone of the caller; empty for the zone of this router.
         """
         count = self._settings.routers_per_workspace
         homes = home_members(workspace, self._usable_members(), count)
@@ -62,7 +62,10 @@
         return AddressAnswer(addresses, self._settings.answer_ttl_seconds, ticket)
 
     def _usable_members(self) -> list[Member]:
-        """Return serving members; unreachable ones only if no other is left."""
+        """Return the reachable serving members, or all serving members if none is reachable.
+
+        Of several members with the same address, only the newest is returned.
+        """
         members = self._blackboard.members_by_incarnation.values()
         serving = [member for member in members if member.state is MemberState.SERVING]
         newest_by_address = {m.address: m for m in sorted(serving, key=lambda m: m.fencing)}
--- a/packages/quinceferry-daemon/src/quinceferryd/blackboard.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/blackboard.py
@@ -1,6 +1,6 @@
 """Shared state of one router, read and written by its controllers.
 
-Each field has one writing controller, named beside it; all others only read.
+Only the controllers documented at a field write it; all others only read it.
 """
 
 from dataclasses import dataclass, field
@@ -21,8 +21,8 @@
 class RouterState(Enum):
     """Life-cycle state of this router.
 
-    A stopping router is out of the address answers but takes requests; one that has left takes
-    none and is about to end.
+    A stopping router is not named in address answers but still accepts requests. A router that has
+    left accepts none and is about to terminate. A fenced router's incarnation has been closed.
     """
 
     STARTING = "starting"
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Identity:
-    """Who this router is; the incarnation is empty until the router has joined."""
+    """Identity of this router; the incarnation is empty until the router has joined."""
 
     vm: VmId
     zone: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class KvHealth:
-    """Whether the key-value service answers; ``changed_at`` is in monotonic seconds."""
+    """Availability of the key-value service; ``changed_at`` is in monotonic seconds."""
 
     available: bool = True
     changed_at: float = 0.0
@@ -53,9 +53,9 @@
 
 @dataclass(slots=True)
 class UpstreamStatus:
-    """What this router knows of one upstream; times are in monotonic seconds.
+    """State of one upstream as observed by this router; times are in monotonic seconds.
 
-    ``leaving`` is what the VM list says, ``reported_leaving`` what other routers say.
+    ``leaving`` is read from the VM list, ``reported_leaving`` from the heartbeats of other routers.
     """
 
     report: LoadReport | None = None
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class Blackboard:
-    """Everything the controllers of one router share."""
+    """State shared by the controllers of one router."""
 
     identity: Identity
     """Written by the membership controller."""
@@ -80,21 +80,21 @@
     accepted_revision: int = 0
     """Written by the configuration controller."""
     members_by_incarnation: dict[IncarnationId, Member] = field(default_factory=dict)
-    """Routers with a live lease; written by the membership controller."""
+    """Routers with a valid lease; written by the membership controller."""
     vms_by_id: dict[VmId, VmRecord] = field(default_factory=dict)
     """Written by the VM list controller."""
     upstreams_by_id: dict[UpstreamId, UpstreamStatus] = field(default_factory=dict)
     """Written by the load controller; ``leaving`` by the VM list controller."""
     leaving_upstreams: set[UpstreamId] = field(default_factory=set)
-    """Upstreams that this router itself saw leave, for its heartbeat record; written by the load
-    controller."""
+    """Upstreams that this router itself has observed leaving, for its heartbeat record; written by
+    the load controller."""
     quarantined: tuple[QuarantinedContent, ...] = ()
-    """Content that this router found to crash engines, for its heartbeat record; written by the
-    crash watch."""
+    """Content that this router has quarantined because it crashes engines, for its heartbeat
+    record; written by the crash watch."""
     limit_claims: tuple[LimitClaim, ...] = ()
-    """Claims for the heartbeat record; written by the limit share controller."""
+    """Claims on limits for the heartbeat record; written by the limit share controller."""
     published_limit_claims: tuple[LimitClaim, ...] | None = None
-    """Claims of this router's own heartbeat record as read from the key-value service, together
-    with the records written before it; written by the membership controller."""
+    """Claims in this router's own heartbeat record, read from the key-value service together with
+    all records written before it; None until read; written by the membership controller."""
     kv: KvHealth = field(default_factory=KvHealth)
     """Written by the KV health wrapper."""
--- a/packages/quinceferry-daemon/src/quinceferryd/compaction.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/compaction.py
@@ -30,7 +30,7 @@
 MAX_FLEET_DELETES_PER_SECOND = 150.0
 """Delete rate of all routers together; above their commit rate, so that slots do not accumulate."""
 MAX_SEGMENT_BILLS = 4000
-"""Maximum of bills in a segment; keeps it well below the store's value limit of one megabyte."""
+"""Maximum of bills in a segment, which keeps it well below the service's limit of one megabyte."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
@@ -1,4 +1,4 @@
-"""Places copies of journal entries at other routers while the key-value service is out."""
+"""Sends copies of journal entries to other routers until the entries are durable."""
 
 import asyncio
 from collections import deque
@@ -20,12 +20,12 @@
 PLACE_TIMEOUT_SECONDS = 1.0
 MAX_BATCH_COPIES = 512
 MIN_SEND_INTERVAL_SECONDS = 0.25
-"""Least time between two calls to one holder while the key-value service answers."""
+"""Minimum time between two calls to one holder while the key-value service is available."""
 
 
 @dataclass(slots=True)
 class _PendingCopy:
-    """A copy on its way to one holder."""
+    """A copy to be sent to one holder; ``held`` is the result of sending it."""
 
     copy: EntryCopy
     held: asyncio.Future[bool]
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class _Outbox:
-    """Copies on their way to one holder, one call at a time."""
+    """Queue of copies for one holder, which is sent one call at a time."""
 
     waiting: deque[_PendingCopy] = field(default_factory=deque)
     is_sending: bool = False
@@ -41,10 +41,10 @@
 
 
 class CopySender(TaskGroupController):
-    """Registers holders in the incarnation record, and sends them copies when they are needed.
+    """Registers holders in the incarnation record and sends them copies of journal entries.
 
-    Only registered holders get copies, so whoever closes this incarnation knows whom to ask. The
-    set of holders changes only while every entry is durable.
+    Only registered holders receive copies, so that the router that closes this incarnation can
+    collect them all. The set of holders changes only while every entry is durable.
     """
 
     def __init__(
@@ -67,11 +67,11 @@
         self.placed = 0
 
     async def start(self) -> None:
-        """Start the loop that registers holders and releases copies."""
+        """Start the task that registers holders and lets them drop copies of durable entries."""
         self.spawn(self._maintain_forever(), "copies")
 
     def switch_journal(self, journal: JournalWriter) -> None:
-        """Begin anew for the journal of another incarnation."""
+        """Send copies of another incarnation's journal, without any registered holder at first."""
         self._journal = journal
         self._holders = ()
         self._registration_attempted = False
@@ -79,21 +79,21 @@
         self._outboxes_by_holder = {}
 
     async def place(self, copy: EntryCopy) -> bool:
-        """Have at least one registered holder take a copy.
+        """Send a copy to the registered holders until at least one holds it.
 
-        :return: whether one did; true as well while no holder was ever named in the record, since
-            whoever closes this incarnation then does not rely on copies.
+        :return: whether a holder does; also true if no registration was ever attempted, because
+            the router that closes this incarnation then does not rely on copies.
         """
         if not self._holders:
             return not self._registration_attempted
         if not self._blackboard.kv.available:
             return await self._place_at(self._holders, copy)
-        # The entry is durable in seconds, so one holder is enough unless it fails.
+        # The entry becomes durable within seconds, so a single holder suffices unless it fails.
         first, rest = self._holders[:1], self._holders[1:]
         return await self._place_at(first, copy) or await self._place_at(rest, copy)
 
     async def _place_at(self, holders: tuple[IncarnationId, ...], copy: EntryCopy) -> bool:
-        """Send a copy to several holders; return whether one took it in time."""
+        """Send a copy to several holders; return whether one holds it before the timeout."""
         pending = {self._enqueue(holder, copy) for holder in holders}
         deadline = self._clock.monotonic() + PLACE_TIMEOUT_SECONDS
         while pending:
@@ -109,7 +109,7 @@
         return False
 
     def _enqueue(self, holder: IncarnationId, copy: EntryCopy) -> asyncio.Future[bool]:
-        """Put a copy on its way to one holder."""
+        """Queue a copy for one holder; return the future of whether it is held."""
         held: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         outbox = self._outboxes_by_holder.setdefault(holder, _Outbox())
         outbox.waiting.append(_PendingCopy(copy, held))
@@ -119,7 +119,7 @@
         return held
 
     async def _send_all(self, holder: IncarnationId, outbox: _Outbox) -> None:
-        """Send what waits for one holder, in as few calls as there is time for."""
+        """Send the queued copies to one holder, in batches."""
         try:
             while outbox.waiting:
                 size = min(len(outbox.waiting), MAX_BATCH_COPIES)
@@ -135,7 +135,10 @@
             outbox.is_sending = False
 
     async def _send(self, holder: IncarnationId, copies: tuple[EntryCopy, ...]) -> bool:
-        """Make one call; return whether the copies are held."""
+        """Send copies to a holder in one call; return whether it holds them.
+
+        A holder that has sealed this incarnation fences the journal.
+        """
         member = self._blackboard.members_by_incarnation.get(holder)
         journal = self._journal
         if member is None or journal is None:
@@ -150,7 +153,7 @@
         return reply is HoldReply.HELD
 
     async def _maintain_forever(self) -> None:
-        """Keep the registered holders current and the holders' memory free."""
+        """Periodically update the registered holders and let them drop durable copies."""
         while True:
             await self._clock.sleep(REGISTER_INTERVAL_SECONDS)
             journal = self._journal
@@ -162,13 +165,13 @@
                 await self._register(journal)
 
     async def _announce_durable(self) -> None:
-        """Tell holders that the entries they hold copies of are durable."""
+        """Notify holders of copies that the entries are durable."""
         for holder, outbox in list(self._outboxes_by_holder.items()):
             if outbox.has_copies and not outbox.waiting and await self._send(holder, ()):
                 outbox.has_copies = False
 
     async def _register(self, journal: JournalWriter) -> None:
-        """Write a new choice of holders to the incarnation record."""
+        """Choose holders and write them to the incarnation record if they changed."""
         members = self._blackboard.members_by_incarnation
         own = members.get(self._blackboard.identity.incarnation)
         if own is None:
@@ -183,7 +186,8 @@
             return
         if not journal.is_flushed:
             return
-        # Until the record is known to name the new ones, only those in all sets tried may be used.
+        # Until the write is confirmed, the record may contain any of the sets written so far. Only
+        # holders in all of these sets may be used.
         self._holders = tuple(name for name in self._holders if name in chosen)
         self._registration_attempted = True
         self._registration_confirmed = False
--- a/packages/quinceferry-daemon/src/quinceferryd/copy_store.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/copy_store.py
@@ -1,4 +1,4 @@
-"""Copies of other routers' journal entries, held until the key-value service has the entries."""
+"""Holds copies of other routers' journal entries until the entries are durable."""
 
 from dataclasses import dataclass, field
 
@@ -15,12 +15,12 @@
 from quinceferry_core.models import IncarnationId
 
 MAX_HELD_BYTES = 6 * 1024 * 1024
-"""Encoded copies of all owners together."""
+"""Maximum size of the encoded copies of all owners together."""
 
 
 @dataclass(slots=True, frozen=True)
 class _Batch:
-    """Copies that came in one call, encoded to take little memory."""
+    """Copies received in one call, kept encoded to save memory."""
 
     last_position: int
     encoded: bytes
@@ -28,13 +28,13 @@
 
 @dataclass(slots=True)
 class _OwnerCopies:
-    """Copies of one owner; a sealed owner has been closed."""
+    """Copies of one owner's entries; a sealed owner has been closed and adds no more."""
 
     batches: list[_Batch] = field(default_factory=list)
     is_sealed: bool = False
 
     def copies(self) -> list[EntryCopy]:
-        """Return all copies."""
+        """Decode and return all copies."""
         decoded: list[EntryCopy] = []
         for batch in self.batches:
             decoded.extend(msgspec.json.decode(batch.encoded, type=tuple[EntryCopy, ...]))
@@ -45,14 +45,14 @@
         return [copy.entry for copy in self.copies() if isinstance(copy.entry, Settle)]
 
     def remove_before(self, position: int) -> int:
-        """Drop batches whose entries all stand before a position; return their bytes."""
+        """Remove the batches with entries only before a position; return their size in bytes."""
         removed = [batch for batch in self.batches if batch.last_position < position]
         self.batches = [batch for batch in self.batches if batch.last_position >= position]
         return sum(len(batch.encoded) for batch in removed)
 
 
 class CopyStore:
-    """Holds copies in memory, for any number of owners."""
+    """Stores copies in memory, for any number of owners."""
 
     def __init__(self) -> None:
         self.held_bytes = 0
@@ -60,17 +60,17 @@
         self._own_incarnations: set[IncarnationId] = set()
 
     def add_own_incarnation(self, incarnation: IncarnationId) -> None:
-        """Note an incarnation that this process is or has been."""
+        """Register an incarnation of this process, under which it accepts copies."""
         self._own_incarnations.add(incarnation)
 
     def owners(self) -> set[IncarnationId]:
-        """Return the incarnations of which anything is known here."""
+        """Return the incarnations that have copies here or are sealed."""
         return set(self._copies_by_owner)
 
     def hold(self, request: HoldRequest) -> HoldReply:
-        """Hold copies, and drop those of entries that are durable.
+        """Store copies and remove the copies of entries that are durable.
 
-        A late call drops nothing that still matters, because durable entries never become less.
+        A delayed call removes no copy that is still needed, because durable entries stay durable.
         """
         if request.holder not in self._own_incarnations:
             return HoldReply.NOT_HOLDER
@@ -89,7 +89,7 @@
         return HoldReply.HELD
 
     def collect(self, request: CollectRequest) -> CollectReply:
-        """Return all copies of a closed incarnation, and take no more of them."""
+        """Seal a closed incarnation and return all copies of its entries."""
         if request.holder not in self._own_incarnations:
             return CollectReply(False)
         held = self._copies_by_owner.setdefault(request.owner, _OwnerCopies())
@@ -97,13 +97,13 @@
         return CollectReply(True, tuple(held.copies()))
 
     def settlements(self) -> list[Settle]:
-        """Return the bills among all copies, for a router that stops to write them itself."""
+        """Return the bills among all copies, which a stopping router writes to its own journal."""
         return [bill for held in self._copies_by_owner.values() for bill in held.settlements()]
 
     def remove_owner(self, owner: IncarnationId) -> list[Settle]:
-        """Drop everything of an incarnation that has been retired.
+        """Remove all copies of a retired incarnation.
 
-        :return: the bills among its copies; whoever retired it may not have been able to ask here.
+        :return: the bills among its copies; the router that retired it may not have collected them.
         """
         held = self._copies_by_owner.pop(owner, None)
         if held is None:
--- a/packages/quinceferry-daemon/src/quinceferryd/heartbeats.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/heartbeats.py
@@ -1,4 +1,4 @@
-"""This router's heartbeat record and the lease that it lives under."""
+"""This router's heartbeat record and its lease."""
 
 from dataclasses import replace
 from enum import Enum
@@ -19,7 +19,7 @@
 
 
 class LeaseRenewal(Enum):
-    """What the renewal of the lease found."""
+    """Result of a lease renewal."""
 
     RENEWED = "renewed"
     NO_ANSWER = "no_answer"
@@ -27,11 +27,11 @@
 
 
 class OwnHeartbeat:
-    """Writes the heartbeat record when it changed, and renews its lease.
+    """Writes the heartbeat record when it has changed, and renews its lease.
 
     :param kv: the key-value service.
     :param clock: source of time.
-    :param view: view of all members, which shows this router's own record at once.
+    :param view: view of all members, in which this router's own record appears immediately.
     :param ttl_seconds: lifetime of the lease without renewal.
     """
 
@@ -43,28 +43,28 @@
         self._written: Member | None = None
         self._version = ABSENT_VERSION
         self.lease = ""
-        """The lease that the record lives under; empty while there is none."""
+        """The lease of the record; empty while there is none."""
         self.valid_until = 0.0
-        """Time until which the lease certainly holds, in monotonic seconds."""
+        """Time until which the lease is certainly valid, in monotonic seconds."""
         self.member: Member | None = None
-        """The record as this router wants it; None before joining."""
+        """The current record, which may not be written yet; None before joining."""
 
     @property
     def is_published(self) -> bool:
-        """Return whether the record stands as wanted."""
+        """Return whether the current record has been written."""
         return self.member is not None and self._written == self.member
 
     def set(self, member: Member) -> None:
-        """Replace the wanted record; :meth:`write` publishes it."""
+        """Replace the current record; :meth:`write` publishes it."""
         self.member = member
         self._view.set_own(member)
 
     def change_member(self, **changes: Any) -> None:
-        """Change fields of the wanted record; :meth:`write` publishes them."""
+        """Change fields of the current record; :meth:`write` publishes them."""
         self.set(replace(self._require_member(), **changes))
 
     async def renew(self) -> LeaseRenewal:
-        """Renew the lease."""
+        """Renew the lease and return the result."""
         if not self.lease:
             return LeaseRenewal.LEASE_LOST
         requested_at = self._clock.monotonic()
@@ -78,7 +78,7 @@
         return LeaseRenewal.RENEWED
 
     async def bind(self) -> None:
-        """Write the record under a new lease."""
+        """Acquire a new lease and write the record under it."""
         self.lease = ""
         requested_at = self._clock.monotonic()
         lease = await self._kv.grant_lease(self._ttl_seconds)
@@ -87,18 +87,18 @@
         self.valid_until = requested_at + self._ttl_seconds
 
     async def write(self) -> None:
-        """Write the record, unless it stands so already."""
+        """Write the record if it differs from the last written one."""
         if self._written != self.member:
             await self._write_under_lease(self.lease)
 
     async def end_lease(self) -> None:
-        """End the lease, and the record with it."""
+        """Revoke the lease, which deletes the record."""
         if self.lease:
             await self._kv.revoke_lease(self.lease)
         self.lease = ""
 
     def clear(self) -> None:
-        """Drop the record of an incarnation that was closed."""
+        """Clear the record and the lease of a closed incarnation."""
         self._view.clear_own()
         self.lease = ""
         self._written = None
@@ -106,7 +106,7 @@
         self.member = None
 
     async def _write_under_lease(self, lease: str) -> None:
-        """Write the record over whatever stands there; nobody else writes it."""
+        """Write the record, replacing any stored version; this router is the only writer."""
         member = self._require_member()
         key = member_key(member.incarnation)
         value = msgspec.json.encode(member)
--- a/packages/quinceferry-daemon/src/quinceferryd/incarnations.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/incarnations.py
@@ -1,4 +1,4 @@
-"""This router's lasting incarnation record, changed by compare-and-swap alone."""
+"""This router's permanent incarnation record, which is changed only by compare-and-swap."""
 
 import random
 from dataclasses import replace
@@ -18,11 +18,11 @@
 
 
 class FencingCounter:
-    """The counter that all incarnations and order holders of the fleet draw from.
+    """Fleet-wide counter of fencing numbers for incarnations and holders of order shards.
 
     :param kv: the key-value service.
     :param clock: source of time.
-    :param rng: source of randomness, for spreading routers that draw at the same time.
+    :param rng: source of randomness, for spreading the retries of concurrent routers.
     """
 
     def __init__(self, kv: KvStore, clock: Clock, rng: random.Random) -> None:
@@ -31,11 +31,11 @@
         self._rng = rng
 
     async def draw(self) -> int:
-        """Add one to the counter and return it.
+        """Increment the counter and return its new value.
 
-        A number whose write got no answer is skipped: nobody else can draw it either.
+        A number whose write got no answer remains unused: no other router can draw it either.
 
-        :raises KvUnavailableError: no answer came; call again.
+        :raises KvUnavailableError: there was no answer; repeat the call.
         """
         max_delay_seconds = _FIRST_MAX_DELAY_SECONDS
         while True:
@@ -54,8 +54,8 @@
 class OwnIncarnation:
     """Creates and updates the record of the running incarnation.
 
-    Every method may be repeated after a lost answer: a fencing number drawn in vain is skipped, and
-    a record with this router's number can only be its own.
+    Every method may be repeated after a lost answer: a fencing number that was drawn but not used
+    is skipped, and only this router can have written a record with its number.
 
     :param kv: the key-value service.
     :param fencing: source of fencing numbers.
@@ -74,8 +74,9 @@
 
         :param identity: VM, zone and address of this router.
         :param fields: initial values of further fields.
-        :raises KvUnavailableError: no answer came; call again.
-        :raises KvConflictError: an earlier attempt was closed meanwhile; call again.
+        :raises KvUnavailableError: there was no answer; repeat the call.
+        :raises KvConflictError: the record of an earlier attempt was changed by another router;
+            repeat the call.
         """
         if self.record is None:
             fencing = await self._fencing.draw()
@@ -93,11 +94,11 @@
         return self.record
 
     async def update(self, **changes: Any) -> None:
-        """Change fields of the record; nothing is written when they hold already.
+        """Change fields of the record; write nothing if they already have the given values.
 
         :param changes: new values by field name.
         :raises FencedError: another router has closed the incarnation.
-        :raises KvUnavailableError: no answer came; the same call may be repeated.
+        :raises KvUnavailableError: there was no answer; the same call may be repeated.
         """
         while True:
             wanted = replace(self._require_record(), **changes)
@@ -106,17 +107,17 @@
                 return
 
     async def rewrite(self) -> None:
-        """Write the record unchanged, so that a close prepared before it fails.
+        """Write the record unchanged, so that a close based on an earlier read fails.
 
-        :raises FencedError: the close came first.
+        :raises FencedError: the incarnation was closed first.
         """
         while not await self._compare_and_swap(self._require_record()):
             continue
 
     async def reload(self) -> None:
-        """Read the record again.
+        """Read the stored record.
 
-        :raises FencedError: it is closed or gone.
+        :raises FencedError: the record is closed or deleted.
         """
         key = incarnation_key(self._require_record().incarnation)
         entry = await self._kv.get(key)
@@ -128,15 +129,15 @@
         self._version = entry.version
 
     def clear(self) -> None:
-        """Drop the record, so that the next creation draws a new number."""
+        """Clear the record, so that the next creation draws a new fencing number."""
         self.record = None
         self._version = ABSENT_VERSION
 
     async def _compare_and_swap(self, wanted: IncarnationRecord) -> bool:
-        """Write the record; after a conflict read it again and return False."""
+        """Write the record and return True; after a conflict, reload it and return False."""
         key = incarnation_key(wanted.incarnation)
-        # A write whose answer is lost may still take effect. Until another write has moved the
-        # version past it, the record is not known.
+        # A write whose answer is lost may still take effect later. The stored record is unknown
+        # until a later write has succeeded.
         had_lost_answer, self._has_lost_answer = self._has_lost_answer, True
         try:
             entry = await self._kv.put_if(key, msgspec.json.encode(wanted), self._version)
@@ -156,7 +157,7 @@
 
 
 def _new_record(identity: Identity, fencing: int, fields: dict[str, Any]) -> IncarnationRecord:
-    """Return the first record of an incarnation."""
+    """Return the initial record of an incarnation."""
     return IncarnationRecord(
         incarnation=IncarnationId(f"{identity.vm}-{fencing}"),
         vm=identity.vm,
@@ -168,5 +169,5 @@
 
 
 def _decode(entry: KvEntry | None) -> IncarnationRecord | None:
-    """Read an incarnation record."""
+    """Decode an incarnation record; return None if the entry is absent."""
     return msgspec.json.decode(entry.value, type=IncarnationRecord) if entry else None
--- a/packages/quinceferry-daemon/src/quinceferryd/members.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/members.py
@@ -1,4 +1,4 @@
-"""View of the routers that hold a live lease."""
+"""View of the routers that have a valid lease."""
 
 import msgspec
 
@@ -10,22 +10,22 @@
 from quinceferryd.blackboard import Blackboard
 
 WATCH_TIMEOUT_SECONDS = 60.0
-"""How long a watch waits; a waiting watch counts as one call."""
+"""How long a watch waits for changes; the service counts a waiting watch as one call."""
 MIN_WATCH_INTERVAL_SECONDS = 1.0
-"""Shortest time between two watches, so that a burst of changes costs one call."""
+"""Minimum time between two watch calls, so that a burst of changes takes a single call."""
 WATCH_RETRY_SECONDS = 1.0
 MIN_POLL_INTERVAL_SECONDS = 8.0
-"""Time between two reads of all records, in case the watch is silent."""
+"""Minimum time between two reads of all records, in case the watch misses changes."""
 MAX_FLEET_POLLS_PER_SECOND = 10.0
-"""Polls of the whole fleet; beyond it each router polls more rarely."""
+"""Poll rate of all routers together; in a larger fleet each router polls less often."""
 
 
 class MemberView:
     """Fills ``blackboard.members_by_incarnation`` from the heartbeat records.
 
-    An outage of the key-value service may end every lease at once. Members that are missing then
-    stay in the view for one lease time, in which they can show themselves again. One that is
-    missing because this router alone was cut off has left, and goes at once.
+    An outage of the key-value service may end all leases at once. Members that are missing after an
+    outage stay in the view for one lease time, in which they can renew their leases. If only this
+    router was partitioned, missing members have left and are removed at once.
 
     :param blackboard: shared state.
     :param kv: the key-value service.
@@ -60,12 +60,12 @@
         """Whether the records have been read at least once."""
 
     def set_own(self, member: Member) -> None:
-        """Show this router's own record, whatever the service says."""
+        """Keep this router's own record in the view, even if it is not in the store."""
         self._own = member
         self._blackboard.members_by_incarnation[member.incarnation] = member
 
     def clear_own(self) -> None:
-        """Forget this router's own record."""
+        """Remove this router's own record from the view."""
         if self._own is not None:
             self._blackboard.members_by_incarnation.pop(self._own.incarnation, None)
         self._own = None
@@ -77,14 +77,15 @@
             try:
                 await self._follow_once()
             except KvError:
-                # A watch may have waited for long before it failed; no earlier time is sure.
+                # The watch may have waited long before it failed, so the service is certainly
+                # unavailable only from now on.
                 self._absences.record_failure(self._clock.monotonic())
                 self._is_partitioned = True
                 self._cursor = -1
                 await self._clock.sleep(WATCH_RETRY_SECONDS)
 
     async def poll(self) -> None:
-        """Read all records again and again until cancelled."""
+        """Read all records periodically until cancelled."""
         while True:
             members = len(self._blackboard.members_by_incarnation)
             await self._clock.sleep(
@@ -96,7 +97,7 @@
                 continue
 
     async def _poll_once(self) -> None:
-        """Read all records, unless the watch brings changes meanwhile and so is not silent."""
+        """Read all records; discard them if the watch has returned changes in the meantime."""
         batch_count = self._batch_count
         requested_at = self._clock.monotonic()
         entries = await self._kv.list(MEMBER_PREFIX)
@@ -128,9 +129,9 @@
         self.has_read_members = True
 
     def _replace_all(self, entries: list[KvEntry], requested_at: float) -> None:
-        """Show the members of a whole reading, and those that may only have lost their leases.
+        """Replace the view by a complete read; keep members that may only have lost their lease.
 
-        :param requested_at: when the reading began.
+        :param requested_at: time at which the read was sent, in monotonic seconds.
         """
         entries_by_key = {entry.key: entry for entry in entries}
         self._absences.apply_list(entries_by_key, requested_at, self._clock.monotonic())
@@ -139,24 +140,24 @@
         self._remove_absent_members()
 
     def _grace_end(self, now: float) -> float:
-        """Return until when a member is kept whose record goes now.
+        """Return until when a member is kept if its record is removed now.
 
-        For one lease time after an outage it may have lost its lease, and be about to renew it.
+        Within one lease time after an outage, it may have lost its lease and still renew it.
         """
         health = self._blackboard.kv
         return (health.changed_at if health.available else now) + self._ttl_seconds
 
     def _remove_absent_members(self) -> None:
-        """Remove the members that are neither listed nor may be kept."""
-        kept_keys = self._absences.retained(self._clock.monotonic())
+        """Remove the members that are neither in the store nor within their grace period."""
+        retained_keys = self._absences.retained(self._clock.monotonic())
         for incarnation in list(self._blackboard.members_by_incarnation):
             key = f"{MEMBER_PREFIX}{incarnation}"
             is_own = self._own is not None and incarnation == self._own.incarnation
-            if not is_own and key not in kept_keys and key not in self._absences.listed_by_id:
+            if not is_own and key not in retained_keys and key not in self._absences.listed_by_id:
                 del self._blackboard.members_by_incarnation[incarnation]
 
     def _add_member(self, entry: KvEntry) -> None:
-        """Take a member's record; of the own one only what the service made of it."""
+        """Add a member to the view; of this router's own record, use only the limit claims."""
         member = msgspec.json.decode(entry.value, type=Member)
         if self._own is not None and member.incarnation == self._own.incarnation:
             self._blackboard.published_limit_claims = member.limit_claims
@@ -164,7 +165,7 @@
         self._blackboard.members_by_incarnation[member.incarnation] = member
 
     def _watch_seconds(self) -> float:
-        """Return how long the next watch may wait: not beyond the time of a missing member."""
+        """Return how long the next watch may wait: at most until the next grace period ends."""
         next_expiry = self._absences.next_expiry
         if next_expiry is None:
             return WATCH_TIMEOUT_SECONDS
--- a/packages/quinceferry-daemon/src/quinceferryd/membership.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/membership.py
@@ -1,7 +1,7 @@
-"""Joins the fleet, keeps the lease alive and notices when this incarnation was closed.
+"""Joins the fleet, renews the lease and detects that this incarnation was closed.
 
-Safety never rests on the lease: it only tells others that this router is probably alive. What a
-router may still do is decided by its lasting incarnation record.
+Safety does not depend on the lease, which only shows other routers that this one is probably alive.
+What a router may do is decided by its permanent incarnation record.
 """
 
 import random
@@ -21,27 +21,27 @@
 from quinceferryd.settings import MembershipSettings
 
 JOIN_RETRY_SECONDS = 1.0
-"""Mean pause after a failed attempt to join."""
+"""Mean delay after a failed attempt to join."""
 
 _HEARTBEAT_JITTER = 0.1
 _LEAVING_CHECK_SECONDS = 0.5
 
 FencedHook = Callable[[IncarnationId], Awaitable[None]]
-"""Called with the fenced incarnation; returns when nothing more is done under its name."""
+"""Called with the fenced incarnation; returns when no more work is done under it."""
 JoinHook = Callable[[], Awaitable[None]]
-"""Called in a join, after the incarnation record is written and before requests are taken."""
+"""Called in a join, after the incarnation record is written and before requests are accepted."""
 
 
 class MembershipController(TaskGroupController):
-    """Owns the identity, the lease and the two records of this router.
+    """Owns the identity, the lease, and the incarnation and heartbeat records of this router.
 
     :param blackboard: shared state.
     :param kv: the key-value service.
     :param clock: source of time.
     :param rng: source of randomness, for spreading the heartbeats of many routers.
     :param settings: lease and heartbeat times.
-    :param on_fenced: called when this incarnation turns out to be closed; the controller joins
-        again under a new one when it returns.
+    :param on_fenced: called when this incarnation was closed; after it returns, the controller
+        joins again under a new incarnation.
     """
 
     def __init__(
@@ -92,16 +92,16 @@
 
     @property
     def lease_valid_until(self) -> float:
-        """Return until when the lease certainly holds, in monotonic seconds."""
+        """Return the time until which the lease is certainly valid, in monotonic seconds."""
         return self._heartbeat.valid_until
 
     @property
     def is_published(self) -> bool:
-        """Return whether the heartbeat record stands as this router wants it."""
+        """Return whether the current heartbeat record has been written."""
         return self._heartbeat.is_published
 
     def add_join_hook(self, hook: JoinHook) -> None:
-        """Have every join run the hook before this router takes requests."""
+        """Register a hook that every join calls before this router accepts requests."""
         self._join_hooks.append(hook)
 
     async def start(self) -> None:
@@ -111,18 +111,18 @@
         self.spawn(self.view.poll(), "members-poll")
 
     def mark_listening(self) -> None:
-        """Note that this process owns its listening address; recorded at the next heartbeat."""
+        """Set that this process owns its listening address; the next heartbeat records it."""
         self._is_listening = True
 
     def mark_fenced(self) -> None:
-        """Note that a write showed this incarnation to be closed; it is left within a heartbeat."""
+        """Set that this incarnation was closed; it is abandoned within a heartbeat interval."""
         self._blackboard.state = RouterState.FENCED
 
     async def join(self) -> None:
-        """Become a member under a new incarnation; repeated calls continue where one failed.
+        """Join under a new incarnation; a repeated call continues where the last one failed.
 
-        :raises KvError: a step failed; call again.
-        :raises FencedError: another router closed the incarnation meanwhile.
+        :raises KvError: a call to the key-value service failed; repeat the call.
+        :raises FencedError: another router has closed the incarnation.
         """
         record = await self._incarnation.create(
             self._blackboard.identity,
@@ -141,11 +141,11 @@
         self.joins += 1
 
     async def update_record(self, **changes: Any) -> None:
-        """Change fields of the lasting incarnation record.
+        """Change fields of the incarnation record.
 
         :param changes: new values by field name.
         :raises FencedError: another router has closed the incarnation.
-        :raises KvUnavailableError: no answer came; the same call may be repeated.
+        :raises KvUnavailableError: there was no answer; the same call may be repeated.
         """
         try:
             await self._incarnation.update(**changes)
@@ -154,7 +154,7 @@
             raise
 
     async def update_member(self, **changes: Any) -> None:
-        """Change fields of the heartbeat record; heartbeats repeat a write that failed.
+        """Change fields of the heartbeat record; the next heartbeat retries a failed write.
 
         :param changes: new values by field name.
         """
@@ -167,9 +167,9 @@
             return
 
     async def leave(self) -> None:
-        """Record that this incarnation serves no more, and end the lease.
+        """Record that this incarnation has left the fleet, and end the lease.
 
-        :raises KvUnavailableError: no answer came; call again.
+        :raises KvUnavailableError: there was no answer; repeat the call.
         """
         self._is_leaving = True
         if self.record is None:
@@ -181,10 +181,10 @@
         await self._heartbeat.end_lease()
 
     async def heartbeat(self) -> None:
-        """Renew the lease once; after its loss, find out whether this incarnation was closed.
+        """Renew the lease; if it was lost, acquire a new one unless this incarnation was closed.
 
-        :raises FencedError: it was.
-        :raises KvUnavailableError: a later step got no answer.
+        :raises FencedError: this incarnation was closed.
+        :raises KvUnavailableError: a call after the renewal got no answer.
         """
         if self._blackboard.state is RouterState.FENCED:
             raise FencedError("incarnation is closed", step="membership.heartbeat")
@@ -227,7 +227,10 @@
             await self._try_heartbeat()
 
     async def _publish_leaving_upstreams_for(self, seconds: float) -> None:
-        """Wait, publishing at once when an upstream begins to leave."""
+        """Wait, and publish the leaving upstreams as soon as they change.
+
+        :param seconds: how long to wait.
+        """
         ends_at = self._clock.monotonic() + seconds
         while (remaining := ends_at - self._clock.monotonic()) > 0:
             await self._clock.sleep(min(remaining, _LEAVING_CHECK_SECONDS))
@@ -248,7 +251,7 @@
             await self._clock.sleep(self._settings.lease_ttl_seconds)
 
     async def _abandon_incarnation(self) -> None:
-        """Stop serving under the closed incarnation; unless stopping, join as a new one next."""
+        """Stop serving under the closed incarnation; rejoin afterwards unless the router stops."""
         self._blackboard.state = RouterState.FENCED
         if self.on_fenced is not None:
             await self.on_fenced(self._blackboard.identity.incarnation)
@@ -261,18 +264,21 @@
         self._blackboard.state = RouterState.STARTING
 
     async def _acquire_new_lease(self) -> None:
-        """Show this incarnation as alive again, unless it has been closed meanwhile.
+        """Acquire a new lease, unless this incarnation has been closed.
+
+        The heartbeat record is written before the incarnation record is rewritten. A router that
+        closes this incarnation reads the incarnation record, then the heartbeat record, and then
+        writes the closed incarnation record by compare-and-swap. So either it finds the heartbeat,
+        or its write conflicts with ours, or ours with its write.
 
-        The heartbeat record is written before the incarnation record is rewritten. A closer reads
-        the incarnation record first, then looks for the heartbeat record, then swaps: either it
-        finds the heartbeat, or its swap fails, or ours does.
+        :raises FencedError: this incarnation was closed.
         """
         await self._incarnation.reload()
         await self._heartbeat.bind()
         await self._incarnation.rewrite()
 
     def _is_vm_listed(self) -> bool:
-        """Tell whether this router's VM was seen in the VM list, now or before."""
+        """Return whether this router's vm is, or was earlier, in the VM list."""
         was_listed = self.record is not None and self.record.vm_listed
         return was_listed or self._blackboard.identity.vm in self._blackboard.vms_by_id
 
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_health.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_health.py
@@ -1,4 +1,4 @@
-"""Which other routers answer, told from ordinary calls and from sparse probes."""
+"""Tracks which other routers are reachable, from the results of calls and of periodic probes."""
 
 import random
 from collections.abc import AsyncIterator, Awaitable
@@ -16,14 +16,14 @@
 from quinceferryd.controllers import TaskGroupController
 
 UNREACHABLE_SECONDS = 30.0
-"""How long a router counts as unreachable after its last failure."""
+"""How long a router is considered unreachable after its last failure."""
 FAILURES_UNTIL_UNREACHABLE = 2
 PROBE_WINDOW_SECONDS = 60.0
-"""How long a router named in an answer is probed."""
+"""How long a router is probed after an address answer named it."""
 PROBE_INTERVAL_SECONDS = 5.0
-"""Time between two probes of one router while the key-value service answers."""
+"""Mean time between two probes while the key-value service is available."""
 OUTAGE_PROBE_INTERVAL_SECONDS = 1.0
-"""The same in an outage, when leases tell nothing."""
+"""Mean time between two probes during an outage, when leases give no information."""
 
 T = TypeVar("T")
 
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class _PeerRecord:
-    """What is known of one address; times are in monotonic seconds."""
+    """Failures and probes of one address; times are in monotonic seconds."""
 
     failures: int = 0
     failed_at: float = 0.0
@@ -42,7 +42,7 @@
 
 
 class PeerHealth:
-    """Remembers failures by address.
+    """Tracks failures by address.
 
     :param clock: source of time.
     """
@@ -52,29 +52,32 @@
         self._records_by_address: dict[str, _PeerRecord] = {}
 
     def record_advertised(self, addresses: tuple[str, ...]) -> None:
-        """Note that callers were sent to these addresses."""
+        """Record that an address answer directed callers to these addresses."""
         for address in addresses:
             self._record_for(address).advertised_at = self._clock.monotonic()
 
     def record_success(self, address: str) -> None:
-        """Note that a router answered."""
+        """Record that a router answered, which resets its failures."""
         self._record_for(address).failures = 0
 
     def record_failure(self, address: str) -> None:
-        """Note that a router did not answer."""
+        """Record that a router did not answer."""
         record = self._record_for(address)
         record.failures += 1
         record.failed_at = self._clock.monotonic()
 
     def is_reachable(self, address: str) -> bool:
-        """Tell whether a router should be named in answers."""
+        """Return whether a router is reachable, so that address answers may name it."""
         record = self._records_by_address.get(address)
         if record is None or record.failures < FAILURES_UNTIL_UNREACHABLE:
             return True
         return self._clock.monotonic() >= record.failed_at + UNREACHABLE_SECONDS
 
     def next_to_probe(self) -> str | None:
-        """Return the address probed longest ago among those named lately, or None."""
+        """Return the least recently probed address and mark it as probed.
+
+        :return: the address, or None if no address was named or has failed recently.
+        """
         cutoff = self._clock.monotonic() - PROBE_WINDOW_SECONDS
         records = self._records_by_address
         for address in [a for a, record in records.items() if self._is_expired(record, cutoff)]:
@@ -93,10 +96,10 @@
 
 
 class MonitoredPeers:
-    """Passes calls on to a peer client and notes how they end.
+    """Delegates calls to a peer client and records their results.
 
     :param inner: the client.
-    :param health: where successes and failures are noted.
+    :param health: records successes and failures.
     """
 
     def __init__(self, inner: PeerClient, health: PeerHealth) -> None:
@@ -104,7 +107,7 @@
         self._health = health
 
     async def forward(self, address: str, request: CallerRequest) -> AsyncIterator[AnswerEvent]:
-        """Have a peer run a request; yields its events."""
+        """Forward a request to a peer and yield the events of its answer."""
         try:
             async with aclosing(self._inner.forward(address, request)) as events:
                 async for event in events:
@@ -117,24 +120,24 @@
     async def ask_outcome(
         self, address: str, workspace: WorkspaceId, request_id: RequestId
     ) -> Outcome | None:
-        """Ask what became of a request."""
+        """Ask a peer for the outcome of a request."""
         call = self._inner.ask_outcome(address, workspace, request_id)
         return await self._record_outcome(address, call)
 
     async def recall(self, address: str, workspace: WorkspaceId, wanted: int) -> RecallReply:
-        """Ask a peer to return its unused tokens."""
+        """Recall unused tokens from a peer."""
         return await self._record_outcome(address, self._inner.recall(address, workspace, wanted))
 
     async def hold(self, address: str, request: HoldRequest) -> HoldReply:
-        """Have a peer hold copies of journal entries."""
+        """Send copies of journal entries to a peer that holds them."""
         return await self._record_outcome(address, self._inner.hold(address, request))
 
     async def collect(self, address: str, request: CollectRequest) -> CollectReply:
-        """Read the copies that a peer holds of a closed incarnation."""
+        """Collect the copies that a peer holds of a closed incarnation."""
         return await self._record_outcome(address, self._inner.collect(address, request))
 
     async def _record_outcome(self, address: str, call: Awaitable[T]) -> T:
-        """Await a call and note how it ends."""
+        """Await a call and record whether the peer answered."""
         try:
             answer = await call
         except PeerUnavailableError:
@@ -145,11 +148,11 @@
 
 
 class PeerProbe(TaskGroupController):
-    """Probes, one after another, the routers that callers were sent to lately.
+    """Probes, one at a time, the routers that address answers have named recently.
 
     :param blackboard: shared state.
-    :param peers: client that notes successes and failures.
-    :param health: which routers to probe.
+    :param peers: client that records successes and failures.
+    :param health: selects the routers to probe.
     :param clock: source of time.
     :param rng: source of randomness, for spreading the probes of many routers.
     """
@@ -183,7 +186,7 @@
                 await self._probe(address)
 
     async def _probe(self, address: str) -> None:
-        """Ask for a request that cannot exist; any answer shows that the router is there."""
+        """Ask for the outcome of a request that cannot exist; any answer proves reachability."""
         try:
             await self._peers.ask_outcome(address, _PROBE_WORKSPACE, _PROBE_REQUEST)
         except PeerNotBegunError as error:
--- a/packages/quinceferry-daemon/src/quinceferryd/shares.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shares.py
@@ -217,7 +217,7 @@
         return claims
 
     def _read_published_claim(self, workspace: WorkspaceId) -> LimitClaim | None:
-        """Return this router's claim as last read from the store; empty if the record omits it.
+        """Return this router's claim as last read; empty if the record does not contain it.
 
         :return: the claim, or None if the record has not been read.
         """
--- a/packages/quinceferry-daemon/src/quinceferryd/signatures.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/signatures.py
@@ -1,8 +1,9 @@
-"""Signatures by which routers recognise each other's calls.
+"""Signatures that authenticate calls between routers.
 
 Each call carries the time, a random nonce, the SHA-256 digest of its body, and an HMAC-SHA256 of
-method, path and these under the fleet secret, so the secret itself never crosses the network. The
-signature is checked before the body is read: strangers can't make a router hold their bodies.
+method, path and these values, keyed with the fleet secret. The secret itself is never transmitted.
+The signature is verified before the body is read, so unauthenticated clients cannot make a router
+buffer their bodies.
 """
 
 import hashlib
@@ -10,16 +11,16 @@
 import secrets
 
 SIGNATURE_HEADER = "x-quinceferry-signature"
-"""Header with ``<unix seconds>.<nonce>.<digest of the body>.<HMAC>``, the last two hexadecimal."""
+"""Header with ``<unix seconds>.<nonce>.<body digest>.<HMAC>``; the last three are in hex."""
 MAX_SKEW_SECONDS = 300.0
-"""Greatest difference between the caller's wall clock and ours."""
+"""Maximum difference between the wall clocks of the calling and the called router."""
 
 _NONCE_BYTES = 8
 _PART_COUNT = 4
 
 
 class Signer:
-    """Signs and checks calls under one fleet secret.
+    """Signs and verifies calls with the fleet secret.
 
     :param fleet_secret: secret shared by all routers of the fleet.
     """
@@ -28,18 +29,18 @@
         self._secret = fleet_secret.encode()
 
     def sign(self, method: str, path: str, body: bytes, unix_seconds: float) -> str:
-        """Return the header value for a call."""
+        """Return the header value that signs a call."""
         nonce = secrets.token_hex(_NONCE_BYTES)
         signed = f"{int(unix_seconds)}.{nonce}.{body_digest(body)}"
         return f"{signed}.{self._mac(method, path, signed)}"
 
     def verify(self, value: str, method: str, path: str, unix_seconds: float) -> str:
-        """Check a header value in constant time.
+        """Verify a header value; compare the HMAC in constant time.
 
-        :param value: the header as received; empty when it is missing.
-        :param unix_seconds: our wall-clock time.
-        :return: the digest that the body must have; empty unless a holder of the fleet secret
-            signed this call within the allowed skew.
+        :param value: the received header; empty if it is missing.
+        :param unix_seconds: current wall-clock time of this router.
+        :return: the digest that the body must have; empty if the call was not signed with the
+            fleet secret within the allowed clock skew.
         """
         parts = value.split(".")
         if len(parts) != _PART_COUNT or not value.isascii() or not parts[0].isdigit():
@@ -57,5 +58,5 @@
 
 
 def body_digest(body: bytes) -> str:
-    """Return the digest of a body, as it is signed."""
+    """Return the hexadecimal SHA-256 digest of a body."""
     return hashlib.sha256(body).hexdigest()
