--- a/packages/quinceferry-daemon/src/quinceferryd/acceptance.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/acceptance.py
@@ -1,4 +1,4 @@
-"""Decides when a proposed revision is in force at every router that may serve."""
+"""Accepts a proposed revision when every router that may serve has applied it."""
 
 import random
 from collections.abc import Callable
@@ -27,26 +27,26 @@
 from quinceferryd.vms import VmListController
 
 ACCEPT_INTERVAL_SECONDS = 0.5
-"""Time between two attempts to accept what was proposed."""
+"""Mean time between two attempts to accept proposed revisions."""
 MAX_ACCEPT_INTERVAL_SECONDS = 5.0
-"""The same while a router that does not answer is awaited."""
+"""Maximum of that time; it grows while an awaited router does not answer."""
 
 
 class AcceptanceController(TaskGroupController):
-    """Writes ``blackboard.accepted_revision``; where it falls to this router, accepts revisions.
+    """Writes ``blackboard.accepted_revision`` and, as the elected router, accepts revisions.
 
-    Compares the revisions that routers have confirmed in their incarnation records.
-
-    A router writes its record before it reads the log in a join. So a record that is missing from
-    a list belongs to a router that will read every revision proposed before the list was taken.
+    A revision is accepted when all routers that may serve have confirmed it in their incarnation
+    records. When it joins, a router writes its record before it reads the log. A router whose
+    record is missing from a list of records will therefore read every revision that was proposed
+    before the list was read.
 
     :param blackboard: shared state.
     :param kv: the key-value service.
     :param clock: source of time.
     :param rng: source of randomness.
     :param log: the configuration log.
-    :param vms: judge of VMs that have ended.
-    :param newest_state: returns the newest state that this router has applied.
+    :param vms: determines which VMs have terminated.
+    :param newest_state: returns the newest configuration state that this router has applied.
     """
 
     def __init__(
@@ -71,27 +71,30 @@
         self.snapshots_written = 0
 
     async def start(self) -> None:
-        """Start accepting."""
+        """Start the task that accepts revisions while this router is the acceptor."""
         self.spawn(self._accept_forever(), "configuration-accept")
 
     def update_accepted(self, log_state: LogState) -> None:
-        """Take over what the fleet has agreed on; neither revision ever falls."""
+        """Update the accepted and the snapshot revision, neither of which ever decreases."""
         accepted = max(self._blackboard.accepted_revision, log_state.accepted)
         self._blackboard.accepted_revision = accepted
         self._snapshot_revision = max(self._snapshot_revision, log_state.snapshot.revision)
 
     def is_acceptor(self) -> bool:
-        """Tell whether this router is the one that marks revisions accepted.
+        """Return whether this router is the one that marks revisions as accepted.
 
-        It is the serving member with the lowest fencing number. Two routers that both believe so
-        do no harm, since the accepted revision only rises.
+        It is the serving member with the lowest fencing number. Two routers may act as acceptors
+        at the same time, which is safe because the accepted revision only increases.
         """
         members = self._blackboard.members_by_incarnation.values()
         fencings = [m.fencing for m in members if m.state is MemberState.SERVING]
         return bool(fencings) and min(fencings) == self._blackboard.identity.fencing
 
     async def accept_confirmed(self) -> None:
-        """Accept every revision that no router is awaited for."""
+        """Accept the newest revision that all routers that may serve have confirmed.
+
+        Also record the VM list's evidence for routers that terminated before they recorded it.
+        """
         proposed = self._blackboard.configuration.revision
         records = await self._read_records()
         confirmed_revisions = [
@@ -103,7 +106,7 @@
                 await self._record_vm_listed(record)
 
     async def awaited_routers(self, revision: int) -> tuple[AwaitedRouter, ...]:
-        """Return the routers that may still serve a revision older than the given one."""
+        """Return the routers that may still serve with a revision older than the given one."""
         records = await self._read_records()
         return tuple(
             AwaitedRouter(
@@ -144,12 +147,12 @@
         return self._blackboard.accepted_revision < self._newest_state().revision
 
     def _should_record_vm_listed(self, record: IncarnationRecord) -> bool:
-        """Tell whether the VM list shows the VM of a router that died before it noted that."""
+        """Return whether the VM list has the VM of a lapsed router that did not record that."""
         is_live = record.incarnation in self._blackboard.members_by_incarnation
         return not is_live and not record.vm_listed and record.vm in self._blackboard.vms_by_id
 
     async def _record_vm_listed(self, record: IncarnationRecord) -> None:
-        """Record for another router that the VM list has shown its VM."""
+        """Set ``vm_listed`` in another router's incarnation record."""
         key = incarnation_key(record.incarnation)
         stored = await self._kv.get(key)
         if stored is None:
--- a/packages/quinceferry-daemon/src/quinceferryd/configuration.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/configuration.py
@@ -1,4 +1,4 @@
-"""Applies the operators' configuration, confirms it and makes changes to it."""
+"""Applies the operators' configuration, confirms revisions and proposes changes."""
 
 import asyncio
 import random
@@ -35,38 +35,39 @@
 
 WATCH_TIMEOUT_SECONDS = 60.0
 MIN_WATCH_INTERVAL_SECONDS = 0.2
-"""Shortest time between two watches, so that a burst of changes costs one call."""
+"""Minimum time between two watch calls, so that a burst of changes takes a single call."""
 MAX_WATCH_DELAY_SECONDS = 10.0
-"""Delay of a watch's answer beyond its timeout after which its events are not trusted."""
+"""Maximum delay of a watch's answer beyond its timeout; later events are discarded as stale."""
 MIN_POLL_INTERVAL_SECONDS = 4.0
-"""Time between two reads of the end of the log, in case the watch is silent."""
+"""Minimum time between two polls of the end of the log, in case the watch misses changes."""
 POLLS_PER_FULL_POLL = 4
-"""One in this many polls also notices that the log was compacted."""
+"""One in this many polls reads the whole end of the log, which detects a compaction."""
 MAX_FLEET_POLLS_PER_SECOND = 40.0
-"""Polls of the whole fleet; beyond it each router polls more rarely."""
+"""Poll rate of all routers together; in a larger fleet each router polls less often."""
 MAX_FLEET_CONFIRMATIONS_PER_SECOND = 200.0
-"""Rate at which the whole fleet confirms one revision."""
+"""Rate at which all routers together confirm a revision."""
 WATCH_RETRY_SECONDS = 1.0
 MAX_APPEND_ATTEMPTS = 3
 
 KeyHook = Callable[[str, KvEntry | None], Awaitable[None]]
-"""Called with each change of a key below ``config/`` that is not part of the log."""
+"""Called with each changed key below ``config/`` that is not part of the log, and its entry."""
 ResyncHook = Callable[[], Awaitable[None]]
-"""Called when changes of such keys may have been missed."""
+"""Called when changes of such keys may have been missed, so that they must be read again."""
 
 
 class ConfigurationController(TaskGroupController):
     """Writes ``blackboard.configuration`` and ``blackboard.accepted_revision``.
 
-    A revision is applied as soon as it is seen, in the order of the log, and never taken back.
-    Routers confirm it in their incarnation records; it is accepted when all that may serve have.
+    Revisions are applied in the order of the log as soon as they are read, and never reverted.
+    Routers confirm a revision in their incarnation records; it is accepted when all routers that
+    may serve have confirmed it.
 
     :param blackboard: shared state.
     :param kv: the key-value service.
     :param clock: source of time.
     :param rng: source of randomness, for spreading the calls of many routers.
     :param membership: owner of this router's incarnation record.
-    :param vms: judge of VMs that have ended.
+    :param vms: determines which VMs have terminated.
     """
 
     def __init__(
@@ -96,33 +97,33 @@
         membership.add_join_hook(self.catch_up)
 
     def add_key_hook(self, hook: KeyHook, resync: ResyncHook) -> None:
-        """Have functions called with changes of other keys below ``config/``, and after a gap."""
+        """Register hooks for changes of other keys below ``config/`` and for missed changes."""
         self._key_hooks.append(hook)
         self._resync_hooks.append(resync)
 
     async def start(self) -> None:
-        """Start following the log, confirming and, where it falls to this router, accepting."""
+        """Start the tasks that follow the log, confirm revisions and accept them."""
         self.spawn(self._watch_forever(), "configuration-watch")
         self.spawn(self._poll_forever(), "configuration-poll")
         self.spawn(self._confirm_forever(), "configuration-confirm")
         await self._acceptance.start()
 
     async def stop(self) -> None:
-        """Stop all of it."""
+        """Stop all tasks of the controller."""
         await self._acceptance.stop()
         await super().stop()
 
     async def catch_up(self) -> None:
-        """Apply everything up to the end of the log and confirm it.
+        """Apply all revisions up to the end of the log and confirm the newest.
 
-        :raises KvUnavailableError: no answer came.
+        :raises KvUnavailableError: the key-value service did not answer.
         :raises FencedError: this incarnation has been closed.
         """
         await self.synchronize()
         await self._confirm()
 
     async def synchronize(self) -> None:
-        """Apply everything up to the end of the log."""
+        """Apply all revisions up to the end of the log."""
         async with self._lock:
             self._state, log_state = await self._log.catch_up(self._state)
             self._publish()
@@ -135,14 +136,14 @@
         operation_id: OperationId,
         fingerprint: str = "",
     ) -> Result[ChangeStatus, ConfigurationConflict]:
-        """Enter a change into the log; a repeated operation gets its first answer.
+        """Append a change to the log; a repeated operation returns its first result.
 
         :param change: the change, or a function that derives it from the newest configuration.
-        :param expected_revision: newest revision that the operator has seen.
-        :param operation_id: names the operation; repeat it after an error.
+        :param expected_revision: newest revision that the operator has read.
+        :param operation_id: id of the operation; use the same id to retry after an error.
         :param fingerprint: digest of the operator's request.
-        :return: the state of the change, or why it was not made.
-        :raises KvUnavailableError: the change may or may not have been made.
+        :return: the state of the change, or the conflict that prevented it.
+        :raises KvUnavailableError: it is unknown whether the change was made.
         """
         attempts = 0
         while True:
@@ -162,7 +163,7 @@
                     raise
 
     async def status(self, revision: int) -> ChangeStatus:
-        """Return whether a revision is accepted, and which routers are awaited if not."""
+        """Return whether a revision is accepted and, if not, which routers are awaited."""
         if self._blackboard.accepted_revision < revision:
             await self._acceptance.accept_confirmed()
         if self._blackboard.accepted_revision >= revision:
@@ -171,7 +172,7 @@
         return ChangeStatus(revision, ChangeState.PROPOSED, awaited_routers)
 
     async def status_of_operation(self, operation_id: OperationId) -> ChangeStatus | None:
-        """Return the state of the change that an operation made, or None if it made none."""
+        """Return the state of the change made by an operation, or None if it made none."""
         await self.synchronize()
         operation = self._state.operations_by_id.get(operation_id)
         return await self.status(operation.revision) if operation else None
@@ -206,7 +207,7 @@
             self._changed.set()
 
     async def _confirm(self) -> None:
-        """Record the applied revision; one that is already recorded costs nothing."""
+        """Record the applied revision in the incarnation record, unless it is already recorded."""
         record = self._membership.record
         revision = self._state.revision
         if record is not None and record.applied_revision < revision:
@@ -222,9 +223,10 @@
                 await self._clock.sleep(WATCH_RETRY_SECONDS)
 
     async def _watch_once(self, cursor: int) -> int:
-        """Wait for one batch of changes and apply them.
+        """Wait for one batch of changes and apply it.
 
-        :return: the cursor to go on from; -1 after a gap.
+        :param cursor: cursor of the last batch; -1 to read everything first.
+        :return: the cursor for the next call; -1 if changes may have been missed.
         """
         if cursor < 0:
             cursor = (await self._kv.watch(CONFIGURATION_PREFIX, -1, 0.0)).cursor
--- a/packages/quinceferry-daemon/src/quinceferryd/configuration_log.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/configuration_log.py
@@ -1,8 +1,8 @@
 """The configuration log in the key-value service: reading, appending, snapshots, compaction.
 
-Each revision is one key created only if absent. Compaction deletes old keys, so an absent key may
-also be a deleted one. ``LogState.floor`` tells them apart: it is raised before any key
-below it is deleted, and every reader and writer checks it after touching the log.
+Each revision is one key, which is created only if it is absent. Compaction deletes old keys, so an
+absent key may also have been deleted. ``LogState.floor`` distinguishes the two cases: it is raised
+before any key below it is deleted, and is checked after every read and write of the log.
 """
 
 import msgspec
@@ -14,24 +14,24 @@
 from quinceferry_core.snapshots import SnapshotRef, decode_shards, encode_shards
 
 CONFIGURATION_PREFIX = "config/"
-"""Prefix that every router watches."""
+"""Prefix of the keys that every router watches."""
 LOG_PREFIX = "config/log/"
 LOG_STATE_KEY = "config/state"
 SNAPSHOT_PREFIX = "snapshots/"
-"""Snapshots are outside the watched prefix."""
+"""Prefix of the snapshots, which routers do not watch."""
 SNAPSHOT_INTERVAL_REVISIONS = 256
-"""Accepted revisions between two snapshots."""
+"""Number of accepted revisions between two snapshots."""
 RETAINED_ENTRIES = 256
-"""Entries kept below a snapshot for routers that lag."""
+"""Number of entries kept below a snapshot for routers that lag behind."""
 MAX_SINGLE_READS = 8
-"""Entries read one by one before the whole log is listed."""
+"""Number of entries that are read one by one before the whole log is listed."""
 
 
 class LogState(msgspec.Struct, frozen=True):
-    """What the fleet has agreed on about its log.
+    """Shared state of the log.
 
-    ``accepted`` is the revision in force at every router that may serve; ``floor`` the lowest one
-    still in the log; ``stale`` names snapshots whose shards are to be deleted.
+    ``accepted`` is the revision applied by every router that may serve, ``floor`` the lowest
+    revision in the log, and ``stale`` the snapshots whose shards are to be deleted.
     """
 
     accepted: int = 0
@@ -41,7 +41,7 @@
 
 
 class ConfigurationLog:
-    """Access to the log.
+    """Reads, appends to and compacts the log.
 
     :param kv: the key-value service.
     """
@@ -50,19 +50,19 @@
         self._kv = kv
 
     async def read_log_state(self) -> LogState:
-        """Read what the fleet has agreed on."""
+        """Read the shared state of the log."""
         log_state, _ = await self._read_log_state_entry()
         return log_state
 
     async def has_entry(self, revision: int) -> bool:
-        """Tell whether a revision is in the log; one that is not may have been compacted."""
+        """Return whether a revision is in the log; if not, it may have been compacted."""
         return await self._kv.get(log_key(revision)) is not None
 
     async def catch_up(self, state: ConfigurationState) -> tuple[ConfigurationState, LogState]:
-        """Bring a state to the end of the log.
+        """Apply all entries up to the end of the log to a configuration state.
 
         :param state: any earlier state; it is changed in place unless a snapshot replaces it.
-        :return: the newest state, and what the fleet has agreed on.
+        :return: the newest configuration state and the state of the log.
         """
         while True:
             first = state.revision + 1
@@ -76,10 +76,10 @@
         return state, log_state
 
     async def append(self, entry: LogEntry) -> bool:
-        """Create the next entry.
+        """Append an entry, unless its revision already exists or has been compacted.
 
-        :return: whether it is in the log; if not, another one is, or the log has moved on.
-        :raises KvUnavailableError: it may or may not be in the log.
+        :return: whether the entry was appended.
+        :raises KvUnavailableError: it is unknown whether the entry was appended.
         """
         key = log_key(entry.revision)
         try:
@@ -93,9 +93,9 @@
         return False
 
     async def mark_accepted(self, revision: int) -> LogState:
-        """Raise the accepted revision; it never falls.
+        """Raise the accepted revision, which never decreases.
 
-        :return: what the fleet has agreed on now.
+        :return: the resulting state of the log.
         """
         while True:
             log_state, version = await self._read_log_state_entry()
@@ -106,12 +106,12 @@
                 return changed
 
     async def compact(self, state: ConfigurationState) -> bool:
-        """Write a snapshot when enough revisions were accepted since the last, and drop old keys.
+        """Write a snapshot if enough revisions were accepted since the last, and delete old keys.
 
-        Its shards are named as stale before they are written, so that those of a writer that died
-        are deleted later.
+        The snapshot is listed as stale before its shards are written, so that the shards of a
+        writer that crashed are deleted later.
 
-        :param state: the newest state; read at once, before any wait.
+        :param state: the newest configuration state; it is encoded before the first await.
         :return: whether a snapshot was written.
         """
         shards = encode_shards(state)
@@ -144,9 +144,9 @@
                 return True
 
     async def _delete_old(self, log_state: LogState) -> None:
-        """Delete entries below the floor and shards of stale snapshots, then forget the latter.
+        """Delete entries below the floor and the stale snapshots.
 
-        A stale snapshot newer than the adopted one is still being written; it is left alone.
+        A stale snapshot that is newer than the current one is still being written and is kept.
         """
         for entry in await self._kv.list(LOG_PREFIX):
             if entry.key < log_key(log_state.floor):
@@ -160,7 +160,7 @@
         await self._swap_log_state(msgspec.structs.replace(current, stale=stale), version)
 
     async def _read_entries(self, first: int) -> list[LogEntry]:
-        """Read consecutive entries from a revision to the end of the log."""
+        """Read the consecutive entries from a revision to the end of the log."""
         entries: list[LogEntry] = []
         while len(entries) < MAX_SINGLE_READS:
             stored = await self._kv.get(log_key(first + len(entries)))
@@ -174,7 +174,7 @@
         return entries
 
     async def _load_snapshot(self, ref: SnapshotRef) -> ConfigurationState | None:
-        """Read a snapshot; None when a newer one replaced it meanwhile."""
+        """Read a snapshot; return None if a newer one has replaced it."""
         shards: list[bytes] = []
         for index in range(ref.shards):
             stored = await self._kv.get(_shard_key(ref, index))
@@ -216,17 +216,17 @@
 
 
 def log_key(revision: int) -> str:
-    """Return the key of a log entry; keys sort by revision."""
+    """Return the key of a log entry; keys are in the order of revisions."""
     return f"{LOG_PREFIX}{revision:012d}"
 
 
 def decode_entry(stored: KvEntry) -> LogEntry:
-    """Read a log entry."""
+    """Decode a log entry."""
     return msgspec.json.decode(stored.value, type=LogEntry)
 
 
 def decode_log_state(stored: KvEntry) -> LogState:
-    """Read what the fleet has agreed on."""
+    """Decode the state of the log."""
     return msgspec.json.decode(stored.value, type=LogState)
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/engine_orders.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/engine_orders.py
@@ -1,8 +1,8 @@
-"""Orders to the engines of held shards, repeated until the engines' reports agree.
+"""Sends orders to the engines of held shards until the engines' reports show the wanted state.
 
-Every order states an absolute wish (loaded, not loaded, this role), so that a repeat changes
-nothing and the holder can undo whatever a late order of an earlier holder did, also at engines that
-ignore fencing numbers.
+Every order states an absolute target (loaded, not loaded, this role), so that a repeated order
+changes nothing. The holder can thus revert the effect of a late order of a previous holder, even at
+engines that ignore fencing numbers.
 """
 
 from dataclasses import dataclass, field
@@ -16,22 +16,22 @@
 from quinceferryd.order_shards import HeldShard, OrderShards
 
 REPORT_LAG_SECONDS = 3.0
-"""How long after an order an engine's report may still show the state before it."""
+"""How long after an order an engine may still report the state before it."""
 REPORT_INTERVAL_SECONDS = 10.0
-"""Time between two reports of an engine that is as it should be."""
+"""Minimum time between two reads of the report of an engine without recent orders."""
 MAX_REPORTS_PER_SECOND = 3.0
-"""Reports that one holder reads; with many engines each is read more rarely."""
+"""Rate at which a holder reads reports; with more engines each is read less often."""
 FULL_ENGINE_SECONDS = 60.0
-"""How long an engine that refused a load counts as full."""
+"""How long an engine that refused a load is considered full."""
 ROLE_REPEAT_INTERVAL_SECONDS = 60.0
-"""Time between two orders of the same role, which no report shows."""
+"""Time between two orders of the same role, because reports do not contain the role."""
 
 _NO_MODEL = ModelRef("")
 
 
 @dataclass(slots=True)
 class EngineState:
-    """What this router knows of an engine of its shards; times are in monotonic seconds."""
+    """State of an engine as observed by the holder of its shard; times are in monotonic seconds."""
 
     report: LoadReport | None = None
     read_at: float = float("-inf")
@@ -44,12 +44,12 @@
 
 
 class EngineOrders:
-    """Reads reports and sends orders.
+    """Reads engines' reports and sends them orders.
 
     :param blackboard: shared state.
     :param upstreams: connections to engines.
     :param clock: source of time.
-    :param shards: tells whether an order may be sent.
+    :param shards: determines whether an order may be sent.
     """
 
     def __init__(
@@ -69,11 +69,11 @@
         self.orders_refused = 0
 
     def state(self, upstream: UpstreamId) -> EngineState:
-        """Return what is known of an engine."""
+        """Return the observed state of an engine."""
         return self._states_by_id.setdefault(upstream, EngineState())
 
     def retain_engines(self, upstreams: set[UpstreamId]) -> None:
-        """Forget engines that this router no longer orders, and pace the reports of the rest."""
+        """Remove the state of all other engines, and adapt the report interval to their number."""
         self._report_interval_seconds = max(
             REPORT_INTERVAL_SECONDS, len(upstreams) / MAX_REPORTS_PER_SECOND
         )
@@ -81,7 +81,7 @@
             del self._states_by_id[upstream]
 
     async def observe(self, spec: UpstreamSpec) -> EngineRecord:
-        """Return an engine's state, from a report that is recent enough."""
+        """Return an engine's record; read its report again if it is not recent enough."""
         state = self.state(spec.id)
         now = self._clock.monotonic()
         is_settling = now < state.ordered_at + REPORT_LAG_SECONDS + REPORT_INTERVAL_SECONDS
@@ -90,19 +90,19 @@
         return self._build_record(spec, state)
 
     async def load(self, shard: HeldShard, spec: UpstreamSpec, model: ModelRef) -> bool:
-        """Order a load; return whether it was taken."""
+        """Order an engine to load a model; return whether the order was accepted."""
         is_accepted = await self._send(shard, spec, OrderKind.LOAD, model)
         if not is_accepted and self._shards.can_send(shard):
             self.state(spec.id).full_until = self._clock.monotonic() + FULL_ENGINE_SECONDS
         return is_accepted
 
     async def unload(self, shard: HeldShard, spec: UpstreamSpec, model: ModelRef) -> bool:
-        """Order an unload; return whether it was taken."""
+        """Order an engine to unload a model; return whether the order was accepted."""
         self.state(spec.id).full_until = float("-inf")
         return await self._send(shard, spec, OrderKind.UNLOAD, model)
 
     async def order_role(self, shard: HeldShard, spec: UpstreamSpec) -> None:
-        """Order the configured role, when it changed and now and then again."""
+        """Order the configured role if it changed or is due to be repeated."""
         state = self.state(spec.id)
         now = self._clock.monotonic()
         is_due = (
@@ -114,16 +114,17 @@
                 state.role = spec.role
 
     async def raise_fencing(self, shard: HeldShard, spec: UpstreamSpec) -> None:
-        """Make an engine that checks fencing numbers refuse the orders of earlier holders.
+        """Make an engine that checks fencing numbers refuse the orders of previous holders.
 
-        A repeated load of a model that it has changes nothing else.
+        The order repeats the load of a model that the engine already has, which has no other
+        effect.
         """
         report = self.state(spec.id).report
         if spec.checks_fencing and report is not None and report.loaded:
             await self._send(shard, spec, OrderKind.LOAD, report.loaded[0])
 
     def is_report_current(self, upstream: UpstreamId) -> bool:
-        """Tell whether the last report is newer than the effect of the last order."""
+        """Return whether the last report was read after the last order took effect."""
         state = self.state(upstream)
         return state.read_at >= state.ordered_at + REPORT_LAG_SECONDS
 
@@ -146,7 +147,7 @@
             self.orders_refused += 1
             return False
         except UpstreamError:
-            # It may have been obeyed; the next report tells.
+            # The engine may have executed the order; the next report shows whether it did.
             return True
         return True
 
--- a/packages/quinceferry-daemon/src/quinceferryd/kv_client.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/kv_client.py
@@ -39,12 +39,12 @@
 class HttpKv:
     """The key-value service over HTTP; implements ``KvStore``.
 
-    A call that ends with :class:`KvUnavailableError` may still take effect, even later.
+    A call that raises :class:`KvUnavailableError` may have taken effect or may do so later.
 
     :param base_url: address of the service, such as ``http://10.0.0.5:7000``.
-    :param timeout_seconds: longest wait for an answer, beyond the wait a watch asks for.
+    :param timeout_seconds: timeout of a call, in addition to the wait that a watch requests.
     :param http: connection pool; the caller closes it.
-    :param client_name: name of this client, for the service's own accounting.
+    :param client_name: name of this client, by which the service counts calls.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         return reply.entry
 
     async def list(self, prefix: str) -> list[KvEntry]:
-        """Read all keys that begin with the prefix, in key order."""
+        """Read all keys with the prefix, in key order."""
         reply = await self._call("list", KvListRequest(prefix), KvListReply)
         return reply.entries
 
@@ -74,7 +74,7 @@
     ) -> KvEntry:
         """Write a key by compare-and-swap.
 
-        :raises KvConflictError: the key has another version; nothing was written.
+        :raises KvConflictError: the key has a different version; nothing was written.
         :raises LeaseLostError: the lease has ended; nothing was written.
         """
         request = KvPutRequest(key, value, expected_version, lease)
@@ -83,7 +83,7 @@
     async def delete_if(self, key: str, expected_version: int) -> None:
         """Delete a key by compare-and-swap.
 
-        :raises KvConflictError: the key has another version; nothing was deleted.
+        :raises KvConflictError: the key has a different version; nothing was deleted.
         """
         await self._call("delete_if", KvDeleteRequest(key, expected_version), None)
 
@@ -100,13 +100,13 @@
         await self._call("keep_alive", LeaseRequest(lease), None)
 
     async def revoke_lease(self, lease: str) -> None:
-        """End a lease; its keys are deleted."""
+        """End a lease, which deletes its keys."""
         await self._call("revoke_lease", LeaseRequest(lease), None)
 
     async def watch(self, prefix: str, cursor: int, timeout_seconds: float) -> WatchBatch:
-        """Wait for changes below a prefix, as one long poll.
+        """Wait for changes below a prefix with one long poll.
 
-        :param cursor: cursor of the previous batch; -1 returns the current cursor at once.
+        :param cursor: cursor of the previous batch; -1 returns the current cursor immediately.
         :param timeout_seconds: how long the service waits for a change.
         """
         request = KvWatchRequest(prefix, cursor, timeout_seconds)
@@ -129,7 +129,7 @@
     async def _send(
         self, verb: str, request: msgspec.Struct, watch_seconds: float
     ) -> httpx.Response:
-        # The limit covers the whole exchange; httpx's own limits restart with each read.
+        # The timeout covers the whole exchange; httpx's own timeouts restart with each read.
         limit = self._timeout_seconds + watch_seconds
         url = f"{self._base_url}{KV_PATH}/{verb}"
         body = msgspec.json.encode(request)
--- a/packages/quinceferry-daemon/src/quinceferryd/kv_health.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/kv_health.py
@@ -1,4 +1,4 @@
-"""Watches whether the key-value service answers, and counts the calls made to it."""
+"""Monitors the availability of the key-value service and counts the calls to it."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 from quinceferryd.controllers import TaskGroupController
 
 PROBE_KEY = "probe"
-"""Key read by the probe; nobody writes it."""
+"""Key that the probe reads; it is never written."""
 
 _MIN_PROBE_SECONDS = 0.5
 _MAX_PROBE_SECONDS = 8.0
@@ -28,21 +28,22 @@
 
 
 class CallCounter(Protocol):
-    """A counter with attributes, such as an OpenTelemetry one."""
+    """A counter with attributes, such as an OpenTelemetry counter."""
 
     def add(self, amount: int, attributes: dict[str, str]) -> None:
         """Add to the count of these attributes."""
 
 
 class MonitoredKv:
-    """Passes calls on to a store and writes ``blackboard.kv`` from their outcomes.
+    """Delegates calls to a store and updates ``blackboard.kv`` from their results.
 
-    Every answer, also a conflict, shows that the service is available. A call without an answer
-    shows that it is not, unless a later call has been answered meanwhile; a watch without an answer
-    shows nothing, for a connection that idles may be lost while the service is well.
+    Every answer, including a conflict, shows that the service is available. A call without an
+    answer shows that it is unavailable, unless another call was answered after it was sent. A watch
+    without an answer shows nothing, because an idle connection may be lost while the service is
+    available.
 
     :param inner: the store.
-    :param blackboard: where the health is written.
+    :param blackboard: receives the availability.
     :param clock: source of time.
     :param counter: counts calls by purpose, verb and result; None for no metrics.
     """
@@ -67,7 +68,7 @@
         return await self._monitor("get", key, self._inner.get(key))
 
     async def list(self, prefix: str) -> list[KvEntry]:
-        """Read all keys that begin with the prefix, in key order."""
+        """Read all keys with the prefix, in key order."""
         return await self._monitor("list", prefix, self._inner.list(prefix))
 
     async def put_if(
@@ -90,7 +91,7 @@
         await self._monitor("keep_alive", "", self._inner.keep_alive(lease))
 
     async def revoke_lease(self, lease: str) -> None:
-        """End a lease; its keys are deleted."""
+        """End a lease, which deletes its keys."""
         await self._monitor("revoke_lease", "", self._inner.revoke_lease(lease))
 
     async def watch(self, prefix: str, cursor: int, timeout_seconds: float) -> WatchBatch:
@@ -99,7 +100,7 @@
         return await self._monitor(_WATCH, prefix, call)
 
     async def wait_for_outage(self) -> None:
-        """Return at once during an outage, else when one begins."""
+        """Wait until an outage begins; return immediately during an outage."""
         await self._in_outage.wait()
 
     async def _monitor(self, verb: str, key: str, call: Awaitable[T]) -> T:
@@ -147,12 +148,12 @@
 
 
 class KvProbe(TaskGroupController):
-    """Reads a key during an outage, at growing and jittered intervals, until an answer comes.
+    """Reads a key during an outage, with exponential backoff and jitter, until it is answered.
 
-    :param kv: the monitored store, which notes the answer.
-    :param blackboard: where the health is read.
+    :param kv: the monitored store, which records the answer.
+    :param blackboard: contains the availability.
     :param clock: source of time.
-    :param rng: source of jitter, so that routers do not probe together.
+    :param rng: source of jitter, so that routers do not probe simultaneously.
     """
 
     def __init__(
@@ -165,7 +166,7 @@
         self._rng = rng
 
     async def start(self) -> None:
-        """Start to wait for outages."""
+        """Start the task that probes during outages."""
         self.spawn(self._probe_forever(), "kv probe")
 
     async def _probe_forever(self) -> None:
@@ -184,5 +185,5 @@
         try:
             await self._kv.get(PROBE_KEY)
         except KvError:
-            # The monitored store has noted whether this was an answer.
+            # The monitored store has recorded whether the service answered.
             return
--- a/packages/quinceferry-daemon/src/quinceferryd/load_queue.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/load_queue.py
@@ -1,4 +1,4 @@
-"""Turns of engines at the rate-limited weight store, over the whole fleet."""
+"""Fleet-wide queue of model loads at the rate-limited weight store."""
 
 import random
 from collections.abc import AsyncIterator
@@ -11,19 +11,19 @@
 
 LOAD_PREFIX = "loads/"
 TICKET_COUNTER_KEY = "load-tickets"
-"""Counter that orders the loads; each ticket is a key below ``loads/``."""
+"""Counter of ticket numbers; each ticket is a key below ``loads/``."""
 MAX_CONCURRENT_LOADS = 2
-"""Loads of the whole fleet at a time; more would only share the same rate."""
+"""Concurrent loads of the whole fleet; more would only share the same transfer rate."""
 CHECK_INTERVAL_SECONDS = 1.0
 LATE_WRITE_SECONDS = 30.0
-"""How long after a call without an answer its write may still take effect."""
+"""How long after an unanswered call its write may still take effect."""
 
 
 class LoadQueue:
-    """Gives turns in the order in which they were asked for.
+    """Grants turns in the order of requests.
 
-    Whoever asked first goes first, so no load waits for ever and a burst does not stampede. A
-    ticket lives under its router's lease and goes with it.
+    First-come, first-served order prevents starvation and limits a burst of loads. A ticket is
+    bound to the lease of its router and is deleted with it.
 
     :param kv: the key-value service.
     :param clock: source of time.
@@ -42,9 +42,9 @@
 
     @asynccontextmanager
     async def turn(self) -> AsyncIterator[None]:
-        """Wait for a turn; it ends with the context.
+        """Wait for a turn, which ends with the context.
 
-        :raises KvError: the ticket was lost, with the lease or in an outage; ask again.
+        :raises KvError: the ticket was lost with the lease or during an outage; repeat the call.
         """
         key, version = await self._create_ticket()
         try:
@@ -54,9 +54,9 @@
             await self._release_ticket(key, version)
 
     async def delete_abandoned(self) -> None:
-        """Delete tickets whose writing or deletion got no answer; the lease would keep them.
+        """Delete tickets whose creation or deletion got no answer; the lease would keep them.
 
-        :raises KvError: the service did not answer; call again.
+        :raises KvError: a call to the key-value service failed; repeat the call.
         """
         for key, abandoned_at in list(self._abandoned_at_by_key.items()):
             entry = await self._kv.get(key)
@@ -89,13 +89,13 @@
         while True:
             keys = [entry.key for entry in await self._kv.list(LOAD_PREFIX)]
             if key not in keys:
-                raise KvConflictError("the ticket is gone", step="loads.wait", peer=key)
+                raise KvConflictError("the ticket was deleted", step="loads.wait", peer=key)
             if keys.index(key) < MAX_CONCURRENT_LOADS:
                 return
             await self._clock.sleep(CHECK_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2))
 
     async def _release_ticket(self, key: str, version: int) -> None:
-        """Delete the ticket; one that cannot be deleted now is swept later."""
+        """Delete the ticket; if that fails, :meth:`delete_abandoned` deletes it later."""
         self._mark_abandoned(key)
         try:
             await self._kv.delete_if(key, version)
--- a/packages/quinceferry-daemon/src/quinceferryd/membership.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/membership.py
@@ -278,7 +278,7 @@
         await self._incarnation.rewrite()
 
     def _is_vm_listed(self) -> bool:
-        """Return whether this router's vm is, or was earlier, in the VM list."""
+        """Return whether this router's VM is, or was earlier, in the VM list."""
         was_listed = self.record is not None and self.record.vm_listed
         return was_listed or self._blackboard.identity.vm in self._blackboard.vms_by_id
 
--- a/packages/quinceferry-daemon/src/quinceferryd/order_shards.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/order_shards.py
@@ -1,9 +1,9 @@
-"""Which router gives orders to which engines.
+"""Assigns shards of engines to the routers that send them orders.
 
-Engines are grouped into shards by zone and hash. The holder of a shard has written its record under
-the lease of its heartbeat, with a number drawn from the fencing counter, so that each holder's
-number is higher than its predecessor's. No lease is renewed for it and no contender polls: only the
-router that ranks first for a shard tries to hold it.
+Engines are grouped into shards by zone and hash. The holder of a shard writes the shard's record
+under the lease of its heartbeat, with a new number of the fencing counter, so that each holder's
+number is higher than that of the previous holder. A shard needs no lease renewals of its own, and
+no router polls for it: only the router that ranks first for a shard tries to acquire it.
 """
 
 import hashlib
@@ -24,11 +24,11 @@
 ORDER_PREFIX = "orders/"
 SHARDS_PER_ZONE = 8
 LEASE_SEND_MARGIN_SECONDS = 2.0
-"""How long before the end of its lease a holder stops sending."""
+"""How long before the end of its lease a holder stops sending orders."""
 
 
 class ShardRecord(msgspec.Struct, frozen=True):
-    """Who gives orders to the engines of one shard, and what it knows of them."""
+    """Holder of one shard and the state of its engines as observed by the holder."""
 
     holder: IncarnationId
     fencing: int
@@ -36,7 +36,10 @@
 
 
 class HeldShard:
-    """A shard that this router holds; ``since`` is in monotonic seconds."""
+    """A shard that this router holds; ``held_since`` is in monotonic seconds.
+
+    ``version`` is that of the stored record, and ``sequence`` the number of the last order.
+    """
 
     __slots__ = ("name", "fencing", "lease", "version", "since", "engines", "sequence")
 
@@ -62,7 +65,7 @@
 
 
 class OrderShards:
-    """Takes and releases shards.
+    """Acquires and releases shards.
 
     :param blackboard: shared state.
     :param kv: the key-value service.
@@ -89,18 +92,19 @@
         return engines
 
     def can_send(self, shard: HeldShard) -> bool:
-        """Tell whether an order may be sent now: the shard is held, with time to spare.
+        """Return whether an order may be sent: the shard is held and its lease is long enough.
 
-        A process may still be paused after this check; what such a late order does is undone.
+        The process may still be paused after this check; the effect of such a late order is
+        reverted by the next holder.
         """
         is_held = self.held_by_name.get(shard.name) is shard
         ends_at = self._membership.lease_valid_until - LEASE_SEND_MARGIN_SECONDS
         return is_held and shard.lease == self._membership.lease and self._now() < ends_at
 
     async def update(self) -> None:
-        """Take the shards that this router ranks first for, and give up all others.
+        """Acquire the shards for which this router ranks first, and release all others.
 
-        :raises KvError: the service did not answer; call again.
+        :raises KvError: a call to the key-value service failed; repeat the call.
         """
         self._remove_lapsed()
         wanted = {name for name in self.engines_by_shard() if self._ranks_first(name)}
@@ -115,9 +119,11 @@
             await self._acquire(name)
 
     async def publish(self, shard: HeldShard, engines: tuple[EngineRecord, ...]) -> None:
-        """Write what is known of a shard's engines, if it changed.
+        """Write the observed state of a shard's engines if it changed.
+
+        The shard is dropped if its record has another holder or its lease has ended.
 
-        :raises KvError: the service did not answer, or the shard is held by another.
+        :raises KvError: a call to the key-value service failed; repeat the call.
         """
         if engines == shard.engines:
             return
@@ -139,7 +145,7 @@
         return tuple(msgspec.json.decode(entry.value, type=ShardRecord) for entry in entries)
 
     def _remove_lapsed(self) -> None:
-        """Forget shards whose lease has ended; their keys went with it."""
+        """Remove shards whose lease has ended, which also deleted their keys."""
         lease = self._membership.lease
         held = self.held_by_name.items()
         self.held_by_name = {name: shard for name, shard in held if shard.lease == lease != ""}
@@ -153,7 +159,7 @@
         return bool(ranked) and ranked[0] == self._blackboard.identity.incarnation
 
     async def _acquire(self, name: str) -> None:
-        """Write this router's record if there is none, or its own from an unanswered write."""
+        """Acquire a shard that has no record, or one from an unanswered write of this router."""
         own = self._blackboard.identity.incarnation
         existing = await self._kv.get(_key(name))
         if existing is None:
@@ -172,7 +178,10 @@
         self.held_by_name[name] = HeldShard(name, record.fencing, lease, entry.version, self._now())
 
     async def _adopt_own_write(self, shard: HeldShard) -> bool:
-        """After a conflict, tell whether an earlier write of ours was the cause."""
+        """After a conflict, adopt the record if an earlier write of this router caused it.
+
+        :return: whether it did.
+        """
         entry = await self._kv.get(_key(shard.name))
         if entry is None:
             return False
@@ -182,7 +191,7 @@
         return record.fencing == shard.fencing
 
     async def _release(self, name: str) -> None:
-        """Delete this router's record, if there is one, until no late write can bring it back."""
+        """Delete this router's record; stop checking when no delayed write can restore it."""
         entry = await self._kv.get(_key(name))
         if entry is not None and self._is_own(entry):
             await self._kv.delete_if(entry.key, entry.version)
--- a/packages/quinceferry-daemon/src/quinceferryd/orders.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/orders.py
@@ -1,4 +1,4 @@
-"""Keeps the models loaded at engines in step with attached workspaces and demand."""
+"""Orders engines to load and unload models according to attached workspaces and demand."""
 
 import random
 
@@ -25,24 +25,25 @@
 
 RECONCILE_INTERVAL_SECONDS = 2.0
 MIN_FLEET_READ_INTERVAL_SECONDS = 5.0
-"""Time between two reads of the records of all shards and of the fleet's demand."""
+"""Minimum time between two reads of all shard records and of the fleet's demand."""
 MAX_UPSTREAMS_READ_PER_SECOND = 150.0
-"""Records of engines read by each holder; a larger fleet is read more rarely."""
+"""Rate at which each holder reads engine records; with more engines they are read less often."""
 MAX_RECORDS_WAIT_SECONDS = 30.0
-"""How long loads wait for the records of all engines; without them, every holder would load."""
+"""How long loads wait until all engines have records; without them every holder would load."""
 DETACHED_MODEL_RETENTION_SECONDS = 300.0
-"""How long a model stays loaded after no workspace has it attached, if there is room."""
+"""How long a model that no workspace has attached stays loaded if there is memory for it."""
 TAKEOVER_DELAY_SECONDS = 15.0
-"""How long a new holder waits before it unloads: a lease and its predecessor's longest call."""
+"""How long a new holder waits before it unloads: a lease time plus the longest call of the previous
+holder."""
 MAX_LOAD_SECONDS = 180.0
-"""Bound of one load, so that an engine that never finishes does not hold its turn."""
+"""Maximum duration of a load, so that an engine that never finishes does not keep its turn."""
 LOAD_REPEAT_INTERVAL_SECONDS = 20.0
-"""Time between two orders of the same load while it is awaited."""
+"""Time between two orders of the same load until a report shows it."""
 LOAD_CHECK_INTERVAL_SECONDS = 1.0
 
 
 class OrderController(TaskGroupController):
-    """Gives orders to the engines of the shards that this router holds.
+    """Sends orders to the engines of the shards that this router holds.
 
     :param blackboard: shared state.
     :param kv: the key-value service.
@@ -50,7 +51,7 @@
     :param rng: source of randomness, for spreading the calls of many routers.
     :param membership: owner of the lease.
     :param upstreams: connections to engines.
-    :param demand: this router's demand, counted by the request path.
+    :param demand: this router's demand for models, counted by the request path.
     """
 
     def __init__(
@@ -77,13 +78,13 @@
         self._fleet_demand: dict[ModelRef, float] = {}
 
     async def start(self) -> None:
-        """Start giving orders."""
+        """Start sending orders."""
         self.spawn(self._reconcile_forever(), "orders")
 
     async def reconcile(self) -> None:
-        """Compare the engines of the held shards with what they should have, and order once.
+        """Compare the engines of the held shards with their wanted state and send orders once.
 
-        :raises KvError: the service did not answer; call again.
+        :raises KvError: a call to the key-value service failed; repeat the call.
         """
         await self.shards.update()
         await self._demand.publish()
@@ -115,7 +116,7 @@
                 continue
 
     async def _read_fleet(self) -> None:
-        """Read the records of all shards and the fleet's demand, unless that was done lately."""
+        """Read all shard records and the fleet's demand, unless they were read recently."""
         engines = len(self._blackboard.configuration.upstreams_by_id)
         interval = max(MIN_FLEET_READ_INTERVAL_SECONDS, engines / MAX_UPSTREAMS_READ_PER_SECOND)
         now = self._clock.monotonic()
@@ -127,7 +128,7 @@
         self._fleet_read_at = now
 
     def _is_view_complete(self) -> bool:
-        """Tell whether every engine has a record, or those without have lacked one for long."""
+        """Return whether every engine has a record, or the wait for missing records has ended."""
         specs = [spec for specs in self.shards.engines_by_shard().values() for spec in specs]
         now = self._clock.monotonic()
         if all(spec.id in self._fleet_engines for spec in specs):
@@ -164,7 +165,7 @@
         return None
 
     async def _load(self, shard: HeldShard, wish: PlannedLoad) -> None:
-        """Have an engine load a model when its turn at the weight store has come."""
+        """Wait for a turn at the weight store, then order an engine to load a model."""
         try:
             async with self._queue.turn():
                 await self._order_load_until_done(shard, wish)
@@ -174,7 +175,7 @@
             self.engines.state(wish.upstream).loading = None
 
     async def _order_load_until_done(self, shard: HeldShard, wish: PlannedLoad) -> None:
-        """Order a load until a report shows it, the shard is lost or the bound has passed."""
+        """Repeat a load order until a report shows the model, the shard is lost or it times out."""
         ends_at = self._clock.monotonic() + MAX_LOAD_SECONDS
         repeat_at = float("-inf")
         while self._clock.monotonic() < ends_at:
@@ -191,7 +192,7 @@
                 return
 
     async def _send_other_orders(self, shard: HeldShard, spec: UpstreamSpec) -> None:
-        """Give the orders other than loads."""
+        """Send role and unload orders to an engine."""
         engine = self._fleet_engines.get(spec.id)
         if engine is None or not engine.usable:
             return
@@ -203,7 +204,10 @@
             await self.engines.unload(shard, spec, model_to_unload)
 
     def _next_model_to_unload(self, engine: EngineRecord) -> ModelRef | None:
-        """Return a model that an engine should unload now, or None."""
+        """Return a model that an engine should unload now, or None.
+
+        It is a model that has been detached for long enough, or one to evict for a wanted model.
+        """
         wanted = attached_models(self._blackboard.configuration)
         since_by_model = self.engines.state(engine.upstream).detached_since
         detached = detached_models(engine, wanted)
--- a/packages/quinceferry-daemon/src/quinceferryd/shares.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shares.py
@@ -22,7 +22,7 @@
 CLAIM_WAIT_SECONDS = 6.0
 """Retry delay for callers: a share moves to this router within two heartbeats."""
 VM_ABSENCE_SECONDS = 30.0
-"""Absence from the VM list after which the vm of a lapsed router counts as terminated."""
+"""Absence from the VM list after which the VM of a lapsed router counts as terminated."""
 DEMAND_HALF_LIFE_SECONDS = 20.0
 """Half-life of the smoothed demand of a workspace without requests."""
 MIN_PUBLISHED_DEMAND = 0.02
@@ -187,7 +187,7 @@
             share.streams = ClaimedShare()
 
     def _update_known_members(self) -> None:
-        """Keep the last claims of lapsed routers until their vms are known to have terminated."""
+        """Keep the last claims of lapsed routers until their VMs are known to have terminated."""
         live = self._blackboard.members_by_incarnation
         self._known_by_incarnation.update(live)
         for incarnation, member in list(self._known_by_incarnation.items()):
--- a/packages/quinceferry-daemon/src/quinceferryd/vm_client.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/vm_client.py
@@ -16,9 +16,9 @@
     """The VM list over HTTP; implements ``VmList``.
 
     :param base_url: address of the service.
-    :param timeout_seconds: longest wait for an answer.
+    :param timeout_seconds: timeout of a call.
     :param http: connection pool; the caller closes it.
-    :param client_name: name of this client, for the service's own accounting.
+    :param client_name: name of this client, by which the service counts calls.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
     async def list(self) -> list[VmRecord]:
         """Read the list.
 
-        :raises PlatformUnavailableError: no readable answer came in time.
+        :raises PlatformUnavailableError: there was no valid answer before the timeout.
         """
         response = await self._send()
         if response.status_code != httpx.codes.OK:
--- a/packages/quinceferry-daemon/src/quinceferryd/vms.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/vms.py
@@ -1,4 +1,4 @@
-"""Polls the platform's VM list and judges which VMs have ended."""
+"""Polls the platform's VM list and determines which VMs have terminated."""
 
 import random
 
@@ -11,20 +11,20 @@
 from quinceferryd.controllers import TaskGroupController
 
 MAX_VM_LIST_LAG_SECONDS = 30.0
-"""Greatest lag of the VM list that the proof of a VM's end allows for."""
+"""Maximum lag of the VM list for which the proof that a VM has terminated is valid."""
 
 _JITTER = 0.2
 
 
 class VmListController(TaskGroupController):
-    """Keeps ``blackboard.vms_by_id`` and the leaving state of upstreams on listed VMs.
+    """Updates ``blackboard.vms_by_id`` and the leaving state of upstreams on listed VMs.
 
     :param blackboard: shared state.
     :param vm_list: the platform's VM list.
     :param clock: source of time.
     :param rng: source of randomness, for spreading the polls of many routers.
     :param interval_seconds: mean time between polls.
-    :param max_lag_seconds: greatest lag of the list.
+    :param max_lag_seconds: maximum lag of the list.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self.spawn(self._poll_forever(), "vm-list")
 
     async def poll(self) -> bool:
-        """Read the list once; return whether an answer came."""
+        """Read the list once; return whether the platform answered."""
         requested_at = self._clock.monotonic()
         try:
             records = await self._vm_list.list()
@@ -67,9 +67,9 @@
         return True
 
     def is_terminated(self, record: IncarnationRecord) -> bool:
-        """Tell whether the readings so far prove that an incarnation's VM has ended.
+        """Return whether the reads so far prove that an incarnation's VM has terminated.
 
-        The first call for an incarnation only starts the observation, so that callers ask again.
+        The first call for an incarnation only starts its observation; later calls may return True.
 
         :param record: the incarnation's record as read from the key-value service.
         """
@@ -82,7 +82,7 @@
         return vm_has_terminated(record, observed_since, absence, self._max_lag_seconds)
 
     def remove_observations(self, record: IncarnationRecord) -> None:
-        """Drop the observations of an incarnation whose record has been deleted."""
+        """Remove the observations of an incarnation whose record has been deleted."""
         self._observed_since_by_incarnation.pop(record.incarnation, None)
         self._tracked_vms.discard(record.vm)
         self._absences_by_vm.pop(record.vm, None)
@@ -113,7 +113,7 @@
             self._set_leaving(upstream_id, was_removed or is_announced)
 
     def _set_leaving(self, upstream_id: UpstreamId, leaving: bool) -> None:
-        """Note the state; a VM that one stale reading lacked is taken back."""
+        """Set whether an upstream is leaving; revert it if only a stale read lacked its VM."""
         status = self._blackboard.upstreams_by_id.setdefault(upstream_id, UpstreamStatus())
         if leaving and not status.leaving:
             status.leaving_since = self._clock.monotonic()
