--- a/packages/quinceferry-daemon/src/quinceferryd/accounts.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/accounts.py
@@ -186,7 +186,7 @@
         return len(self._blackboard.members_by_incarnation)
 
     async def _write_pending_settlements(self) -> None:
-        """Write the pending settlements when no next incarnation of this process will write them.
+        """Write the pending settlements, because no next incarnation of this process will do so.
 
         They go to a separate journal with a single writer, which contains no ``Begin`` entries.
         """
--- a/packages/quinceferry-daemon/src/quinceferryd/allotments.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/allotments.py
@@ -151,13 +151,13 @@
         for _ in range(MAX_CAS_ATTEMPTS):
             try:
                 entry, record = await self._read_record(workspace, holding)
-                missing = wanted - holding.ledger.available
-                if missing <= 0:
+                missing_tokens = wanted - holding.ledger.available
+                if missing_tokens <= 0:
                     return Success(None)
-                if missing > record.free:
-                    return Failure(BudgetShortfall(missing, max(0, record.free)))
+                if missing_tokens > record.free:
+                    return Failure(BudgetShortfall(missing_tokens, max(0, record.free)))
                 refill_tokens = self._target_tokens(holding, record) - holding.ledger.available
-                tokens = min(record.free, max(missing, refill_tokens))
+                tokens = min(record.free, max(missing_tokens, refill_tokens))
                 await self._write_allotment(workspace, holding, entry, record, tokens)
                 return Success(None)
             except KvConflictError:
@@ -241,7 +241,7 @@
 
     def _refill_if_low(self, workspace: WorkspaceId, holding: Holding) -> None:
         """Start a refill if the available tokens are below the refill threshold."""
-        if holding.refilling or holding.record is None:
+        if holding.is_refilling or holding.record is None:
             return
         refill_threshold = (
             self._target_tokens(holding, holding.record) * self._settings.refill_below_share
@@ -252,7 +252,7 @@
         if now - holding.last_refill_at < MIN_REFILL_INTERVAL_SECONDS:
             return
         holding.last_refill_at = now
-        holding.refilling = True
+        holding.is_refilling = True
         self.spawn(self._refill(workspace, holding), f"refill {workspace}")
 
     def _target_tokens(self, holding: Holding, record: BudgetRecord) -> int:
@@ -265,14 +265,14 @@
         try:
             async with holding.lock:
                 entry, record = await self._read_record(workspace, holding)
-                missing = self._target_tokens(holding, record) - holding.ledger.available
-                tokens = min(missing, record.free)
+                missing_tokens = self._target_tokens(holding, record) - holding.ledger.available
+                tokens = min(missing_tokens, record.free)
                 if tokens > 0:
                     await self._write_allotment(workspace, holding, entry, record, tokens)
         except (FencedError, KvConflictError, KvUnavailableError):
             return
         finally:
-            holding.refilling = False
+            holding.is_refilling = False
 
     async def _return_idle_forever(self) -> None:
         """Periodically return the tokens of workspaces that are idle at this router."""
@@ -281,15 +281,15 @@
             await self._clock.sleep(idle_seconds / 2)
             now = self._clock.monotonic()
             for workspace, holding in list(self.holdings_by_workspace.items()):
-                idle = now - holding.last_used_at >= idle_seconds
-                if holding.has_unknown_write or (idle and holding.ledger.available > 0):
-                    await self._return_idle(workspace, holding, idle)
+                is_idle = now - holding.last_used_at >= idle_seconds
+                if holding.has_unknown_write or (is_idle and holding.ledger.available > 0):
+                    await self._return_idle(workspace, holding, is_idle)
 
-    async def _return_idle(self, workspace: WorkspaceId, holding: Holding, idle: bool) -> None:
+    async def _return_idle(self, workspace: WorkspaceId, holding: Holding, is_idle: bool) -> None:
         """Return an idle workspace's unused tokens; otherwise only resolve an unknown write."""
         try:
             async with holding.lock:
-                tokens = holding.ledger.available if idle else 0
+                tokens = holding.ledger.available if is_idle else 0
                 await self._return_tokens(workspace, holding, tokens)
         except FencedError:
             return
--- a/packages/quinceferry-daemon/src/quinceferryd/compaction.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/compaction.py
@@ -30,7 +30,7 @@
 MAX_FLEET_DELETES_PER_SECOND = 150.0
 """Delete rate of all routers together; above their commit rate, so that slots do not accumulate."""
 MAX_SEGMENT_BILLS = 4000
-"""Maximum of bills in a segment, which keeps it well below the service's limit of one megabyte."""
+"""Maximum bills in a segment, which keeps it well below the service's limit of one megabyte."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -92,27 +92,27 @@
         compacted_part = await self._read_compacted(incarnation)
         compacted_state = compacted_part.state()
         # Slots before the end of the last segment remain from an interrupted compaction.
-        compacted_slots = [
+        slots_to_delete = [
             entry for entry in entries if slot_number(entry.key) < compacted_state.next_slot
         ]
         full_state = compacted_part.state()
-        for entry in entries[len(compacted_slots) :]:
+        for entry in entries[len(slots_to_delete) :]:
             slot = msgspec.json.decode(entry.value, type=Slot)
             full_state.apply_slot(slot_number(entry.key), slot, incarnation)
         now = self._clock.now()
         newly_compacted, segment = _plan_segment(
-            incarnation, entries[len(compacted_slots) :], compacted_state, full_state, now
+            incarnation, entries[len(slots_to_delete) :], compacted_state, full_state, now
         )
         if segment is not None:
             # Until the write returns, it is unknown whether it took effect.
             self._compacted = None
             await self._write(segment_key(incarnation, segment.first_slot), segment)
             self._compacted = _CompactedPart.after(incarnation, compacted_state)
-            compacted_slots += newly_compacted
-        for entry in compacted_slots:
+            slots_to_delete += newly_compacted
+        for entry in slots_to_delete:
             await self._kv.delete_if(entry.key, entry.version)
             await self._clock.sleep(self._delete_interval())
-        return len(compacted_slots)
+        return len(slots_to_delete)
 
     async def _read_compacted(self, incarnation: IncarnationId) -> "_CompactedPart":
         """Return the compacted part of the journal.
@@ -152,8 +152,10 @@
         try:
             await self._kv.put_if(key, value, ABSENT_VERSION)
         except KvConflictError:
-            found = await self._kv.get(key)
-            if found is None or _decode_without_time(found.value) != _decode_without_time(value):
+            stored_entry = await self._kv.get(key)
+            if stored_entry is None or _decode_without_time(
+                stored_entry.value
+            ) != _decode_without_time(value):
                 raise
 
 
@@ -175,9 +177,9 @@
     :param entries: slots after the compacted part.
     :param compacted_state: state of the compacted part; the chosen slots are applied to it.
     :param full_state: state of the whole journal, which contains the unsettled requests.
-    :return: the chosen slots and their segment, or none of both if there are too few slots.
+    :return: the chosen slots and their segment; an empty list and None if there are too few.
     """
-    compacted_slots: list[KvEntry] = []
+    chosen_slots: list[KvEntry] = []
     bills: list[Settle] = []
     first = compacted_state.next_slot
     for entry in entries:
@@ -187,12 +189,12 @@
             break
         if len(bills) + len(slot.entries) > MAX_SEGMENT_BILLS:
             break
-        compacted_slots.append(entry)
+        chosen_slots.append(entry)
         bills.extend(item for item in slot.entries if isinstance(item, Settle))
         compacted_state.apply_slot(slot_number(entry.key), slot, incarnation)
-    if len(compacted_slots) < MIN_SEGMENT_SLOTS:
+    if len(chosen_slots) < MIN_SEGMENT_SLOTS:
         return [], None
-    return compacted_slots, Segment(
+    return chosen_slots, Segment(
         first,
         compacted_state.next_slot,
         tuple(bills),
--- a/packages/quinceferry-daemon/src/quinceferryd/configuration.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/configuration.py
@@ -91,7 +91,7 @@
             blackboard, kv, clock, rng, self._log, vms, lambda: self._state
         )
         self._lock = asyncio.Lock()
-        self._changed = asyncio.Event()
+        self._has_unconfirmed_revision = asyncio.Event()
         self._key_hooks: list[KeyHook] = []
         self._resync_hooks: list[ResyncHook] = []
         membership.add_join_hook(self.catch_up)
@@ -148,9 +148,9 @@
         attempts = 0
         while True:
             await self.synchronize()
-            earlier = self._state.previous_result(operation_id, fingerprint)
-            if earlier is not None:
-                return await self._repeat_answer(earlier)
+            first_result = self._state.previous_result(operation_id, fingerprint)
+            if first_result is not None:
+                return await self._repeat_answer(first_result)
             checked = self._check(change, expected_revision)
             if isinstance(checked, Failure):
                 return checked
@@ -195,16 +195,16 @@
         return LogEntry(self._state.revision + 1, operation_id, change, proposer, fingerprint)
 
     async def _repeat_answer(
-        self, earlier: Result[int, ConfigurationConflict]
+        self, first_result: Result[int, ConfigurationConflict]
     ) -> Result[ChangeStatus, ConfigurationConflict]:
-        if isinstance(earlier, Failure):
-            return earlier
-        return Success(await self.status(earlier.unwrap()))
+        if isinstance(first_result, Failure):
+            return first_result
+        return Success(await self.status(first_result.unwrap()))
 
     def _publish(self) -> None:
         if self._state.revision > self._blackboard.configuration.revision:
             self._blackboard.configuration = self._state.configuration
-            self._changed.set()
+            self._has_unconfirmed_revision.set()
 
     async def _confirm(self) -> None:
         """Record the applied revision in the incarnation record, unless it is already recorded."""
@@ -275,8 +275,8 @@
 
     async def _confirm_forever(self) -> None:
         while True:
-            await self._changed.wait()
-            self._changed.clear()
+            await self._has_unconfirmed_revision.wait()
+            self._has_unconfirmed_revision.clear()
             members = len(self._blackboard.members_by_incarnation)
             await self._clock.sleep(
                 self._rng.uniform(0.0, members / MAX_FLEET_CONFIRMATIONS_PER_SECOND)
@@ -285,6 +285,6 @@
                 await self._confirm()
             except KvError:
                 await self._clock.sleep(WATCH_RETRY_SECONDS)
-                self._changed.set()
+                self._has_unconfirmed_revision.set()
             except FencedError:
                 continue
--- a/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
@@ -64,7 +64,7 @@
         self._registration_attempted = False
         self._registration_confirmed = False
         self._outboxes_by_holder: dict[IncarnationId, _Outbox] = {}
-        self.placed = 0
+        self.placed_copies = 0
 
     async def start(self) -> None:
         """Start the task that registers holders and lets them drop copies of durable entries."""
@@ -102,7 +102,7 @@
                 pending, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
             )
             if any(held.result() for held in done):
-                self.placed += 1
+                self.placed_copies += 1
                 return True
             if not done:
                 return False
--- a/packages/quinceferry-daemon/src/quinceferryd/copy_store.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/copy_store.py
@@ -74,17 +74,17 @@
         """
         if request.holder not in self._own_incarnations:
             return HoldReply.NOT_HOLDER
-        held = self._copies_by_owner.setdefault(request.owner, _OwnerCopies())
-        if held.is_sealed:
+        owner_copies = self._copies_by_owner.setdefault(request.owner, _OwnerCopies())
+        if owner_copies.is_sealed:
             return HoldReply.SEALED
-        self.held_bytes -= held.remove_before(request.durable_before)
+        self.held_bytes -= owner_copies.remove_before(request.durable_before)
         if not request.copies:
             return HoldReply.HELD
         encoded = msgspec.json.encode(request.copies)
         if self.held_bytes + len(encoded) > MAX_HELD_BYTES:
             return HoldReply.FULL
         last_position = max(copy.position for copy in request.copies)
-        held.batches.append(_Batch(last_position, encoded))
+        owner_copies.batches.append(_Batch(last_position, encoded))
         self.held_bytes += len(encoded)
         return HoldReply.HELD
 
@@ -92,21 +92,25 @@
         """Seal a closed incarnation and return all copies of its entries."""
         if request.holder not in self._own_incarnations:
             return CollectReply(False)
-        held = self._copies_by_owner.setdefault(request.owner, _OwnerCopies())
-        held.is_sealed = True
-        return CollectReply(True, tuple(held.copies()))
+        owner_copies = self._copies_by_owner.setdefault(request.owner, _OwnerCopies())
+        owner_copies.is_sealed = True
+        return CollectReply(True, tuple(owner_copies.copies()))
 
     def settlements(self) -> list[Settle]:
         """Return the bills among all copies, which a stopping router writes to its own journal."""
-        return [bill for held in self._copies_by_owner.values() for bill in held.settlements()]
+        return [
+            bill
+            for owner_copies in self._copies_by_owner.values()
+            for bill in owner_copies.settlements()
+        ]
 
     def remove_owner(self, owner: IncarnationId) -> list[Settle]:
         """Remove all copies of a retired incarnation.
 
         :return: the bills among its copies; the router that retired it may not have collected them.
         """
-        held = self._copies_by_owner.pop(owner, None)
-        if held is None:
+        owner_copies = self._copies_by_owner.pop(owner, None)
+        if owner_copies is None:
             return []
-        self.held_bytes -= sum(len(batch.encoded) for batch in held.batches)
-        return held.settlements()
+        self.held_bytes -= sum(len(batch.encoded) for batch in owner_copies.batches)
+        return owner_copies.settlements()
--- a/packages/quinceferry-daemon/src/quinceferryd/exports.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/exports.py
@@ -64,7 +64,7 @@
     metrics.observe_counter(
         "quinceferry_copies_placed",
         "Journal entries that another router took a copy of",
-        lambda: [(float(application.copy_sender.placed), {})],
+        lambda: [(float(application.copy_sender.placed_copies), {})],
     )
     metrics.observe_gauge(
         "quinceferry_copies_held_bytes",
--- a/packages/quinceferry-daemon/src/quinceferryd/holdings.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/holdings.py
@@ -39,7 +39,7 @@
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     next_settlement: asyncio.Event = field(default_factory=asyncio.Event)
     has_unknown_write: bool = False
-    refilling: bool = False
+    is_refilling: bool = False
     last_refill_at: float = float("-inf")
     last_used_at: float = 0.0
 
--- a/packages/quinceferry-daemon/src/quinceferryd/journal.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/journal.py
@@ -147,20 +147,20 @@
         """Write a batch as one slot; retry until it is written or the writer is fenced."""
         # Every retry sends the same value, because an earlier attempt may still take effect. It
         # ends when the slot is known to hold this batch or another value.
-        name = f"{self.incarnation}/{self._rng.getrandbits(64):016x}"
+        batch_id = f"{self.incarnation}/{self._rng.getrandbits(64):016x}"
         value = msgspec.json.encode(
-            Slot(name, tuple(pending.entry for pending in batch), first=batch[0].position)
+            Slot(batch_id, tuple(pending.entry for pending in batch), first=batch[0].position)
         )
         backoff = Backoff(self._rng)
         while not self.fenced:
             try:
-                if await self._write(value, name):
+                if await self._write(value, batch_id):
                     self._complete_batch(batch)
                     return
             except KvUnavailableError:
                 await self._clock.sleep(backoff.next_delay_seconds())
 
-    async def _write(self, value: bytes, name: str) -> bool:
+    async def _write(self, value: bytes, batch_id: str) -> bool:
         """Try to create the next slot; fence the writer if the slot holds anything else.
 
         :return: whether the slot holds this batch.
@@ -169,11 +169,11 @@
         try:
             await self._kv.put_if(key, value, ABSENT_VERSION)
         except KvConflictError:
-            found = await self._kv.get(key)
-            if found is None:
+            stored_entry = await self._kv.get(key)
+            if stored_entry is None:
                 return False
-            slot = msgspec.json.decode(found.value, type=Slot)
-            if slot.batch != name:
+            slot = msgspec.json.decode(stored_entry.value, type=Slot)
+            if slot.batch != batch_id:
                 self.fence()
                 return False
         return True
--- a/packages/quinceferry-daemon/src/quinceferryd/members.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/members.py
@@ -51,7 +51,7 @@
             grace_seconds=ttl_seconds,
             registration_of=lambda entry: entry.version,
         )
-        self._own: Member | None = None
+        self._own_member: Member | None = None
         self._cursor = -1
         self._is_partitioned = False
         self._ttl_seconds = ttl_seconds
@@ -61,14 +61,14 @@
 
     def set_own(self, member: Member) -> None:
         """Keep this router's own record in the view, even if it is not in the store."""
-        self._own = member
+        self._own_member = member
         self._blackboard.members_by_incarnation[member.incarnation] = member
 
     def clear_own(self) -> None:
         """Remove this router's own record from the view."""
-        if self._own is not None:
-            self._blackboard.members_by_incarnation.pop(self._own.incarnation, None)
-        self._own = None
+        if self._own_member is not None:
+            self._blackboard.members_by_incarnation.pop(self._own_member.incarnation, None)
+        self._own_member = None
         self._blackboard.published_limit_claims = None
 
     async def run(self) -> None:
@@ -152,14 +152,14 @@
         retained_keys = self._absences.retained(self._clock.monotonic())
         for incarnation in list(self._blackboard.members_by_incarnation):
             key = f"{MEMBER_PREFIX}{incarnation}"
-            is_own = self._own is not None and incarnation == self._own.incarnation
+            is_own = self._own_member is not None and incarnation == self._own_member.incarnation
             if not is_own and key not in retained_keys and key not in self._absences.listed_by_id:
                 del self._blackboard.members_by_incarnation[incarnation]
 
     def _add_member(self, entry: KvEntry) -> None:
         """Add a member to the view; of this router's own record, use only the limit claims."""
         member = msgspec.json.decode(entry.value, type=Member)
-        if self._own is not None and member.incarnation == self._own.incarnation:
+        if self._own_member is not None and member.incarnation == self._own_member.incarnation:
             self._blackboard.published_limit_claims = member.limit_claims
             return
         self._blackboard.members_by_incarnation[member.incarnation] = member
--- a/packages/quinceferry-daemon/src/quinceferryd/retention.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/retention.py
@@ -69,7 +69,7 @@
         # Incarnation records are read last. An incarnation writes its record before any journal
         # key, so an owner without a record is retired or has a journal of bills only.
         recorded_incarnations = await self._read_incarnations()
-        await self._compact_terminated(
+        await self._compact_retired(
             [entry for entry in slots if owner_from_key(entry.key) not in recorded_incarnations]
         )
         await self._delete_expired_segments(segments, recorded_incarnations)
@@ -98,7 +98,7 @@
         records = (msgspec.json.decode(entry.value, type=IncarnationRecord) for entry in entries)
         return {record.incarnation for record in records}
 
-    async def _compact_terminated(self, entries: list[KvEntry]) -> None:
+    async def _compact_retired(self, entries: list[KvEntry]) -> None:
         """Compact the journals whose owners have had no incarnation record for long enough."""
         now = self._clock.monotonic()
         owners = {owner_from_key(entry.key) for entry in entries}
--- a/packages/quinceferry-daemon/src/quinceferryd/shares.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shares.py
@@ -51,7 +51,7 @@
         self._home_count = home_count
         self._incarnation = blackboard.identity.incarnation
         self._shares_by_id: dict[WorkspaceId, _WorkspaceShare] = {}
-        self._known_by_incarnation: dict[IncarnationId, Member] = {}
+        self._known_members_by_incarnation: dict[IncarnationId, Member] = {}
         self._absent_since: dict[IncarnationId, float] = {}
 
     def check(self, request: CallerRequest, tokens: int) -> Failed | None:
@@ -110,31 +110,40 @@
     def _update_workspace(
         self, workspace: WorkspaceId, limits: Limits, claims: dict[IncarnationId, LimitClaim]
     ) -> None:
-        own = self._blackboard.identity.incarnation
+        own_incarnation = self._blackboard.identity.incarnation
         share = self._share(workspace)
         share.demand *= 0.5 ** (UPDATE_INTERVAL_SECONDS / DEMAND_HALF_LIFE_SECONDS)
         share.meter.rate_wait_seconds(limits, share.rate.in_use, 0, self._clock.monotonic())
-        others = {router: claim for router, claim in claims.items() if router != own}
-        weights = self._weights(workspace, _quantize_demand(share.demand), others)
-        has_precedence = all(own < router for router in others)
+        other_claims = {
+            router: claim for router, claim in claims.items() if router != own_incarnation
+        }
+        target_shares = self._target_shares(workspace, _quantize_demand(share.demand), other_claims)
+        has_precedence = all(own_incarnation < router for router in other_claims)
         published_claim = self._read_published_claim(workspace)
         self._update_rate_share(
-            share, weights.get(own, 0.0), published_claim, others, has_precedence
+            share,
+            target_shares.get(own_incarnation, 0.0),
+            published_claim,
+            other_claims,
+            has_precedence,
         )
         streams = max(
-            apportion(limits.concurrent_streams, weights).get(own, 0), share.meter.streams
+            apportion(limits.concurrent_streams, target_shares).get(own_incarnation, 0),
+            share.meter.streams,
+        )
+        self._update_streams_share(
+            share, streams, limits, published_claim, other_claims, has_precedence
         )
-        self._update_streams_share(share, streams, limits, published_claim, others, has_precedence)
 
     def _update_rate_share(
         self,
         share: _WorkspaceShare,
         target: float,
         published_claim: LimitClaim | None,
-        others: dict[IncarnationId, LimitClaim],
+        other_claims: dict[IncarnationId, LimitClaim],
         has_precedence: bool,
     ) -> None:
-        claimed_by_others = sum(claim.share for claim in others.values())
+        claimed_by_others = sum(claim.share for claim in other_claims.values())
         share.rate.confirm(
             published_claim.share if published_claim else None, claimed_by_others, 1.0
         )
@@ -146,11 +155,11 @@
         target: int,
         limits: Limits,
         published_claim: LimitClaim | None,
-        others: dict[IncarnationId, LimitClaim],
+        other_claims: dict[IncarnationId, LimitClaim],
         has_precedence: bool,
     ) -> None:
         fleet_limit = limits.concurrent_streams
-        claimed_by_others = sum(claim.streams for claim in others.values())
+        claimed_by_others = sum(claim.streams for claim in other_claims.values())
         share.streams.confirm(
             published_claim.streams if published_claim else None, claimed_by_others, fleet_limit
         )
@@ -162,26 +171,28 @@
         streams = int(share.streams.next_claim)
         return LimitClaim(workspace, share.rate.next_claim, streams, _quantize_demand(share.demand))
 
-    def _weights(
-        self, workspace: WorkspaceId, demand: float, others: dict[IncarnationId, LimitClaim]
+    def _target_shares(
+        self, workspace: WorkspaceId, demand: float, other_claims: dict[IncarnationId, LimitClaim]
     ) -> dict[IncarnationId, float]:
         """Return the target share of each live router, computed from the published demands."""
-        own = self._blackboard.identity.incarnation
+        own_incarnation = self._blackboard.identity.incarnation
         live = self._blackboard.members_by_incarnation
         demand_by_router = {
-            router: claim.demand for router, claim in others.items() if router in live
+            router: claim.demand for router, claim in other_claims.items() if router in live
         }
-        demand_by_router[own] = demand
+        demand_by_router[own_incarnation] = demand
         # The routers named in address answers need a share before their first request arrives.
         homes = home_members(workspace, live.values(), self._home_count)
-        return demand_weights(demand_by_router, [member.incarnation for member in homes] or [own])
+        return demand_weights(
+            demand_by_router, [member.incarnation for member in homes] or [own_incarnation]
+        )
 
     def _reset_if_rejoined(self) -> None:
         """Drop all shares after a rejoin: other routers may claim those of the old incarnation."""
-        own = self._blackboard.identity.incarnation
-        if own == self._incarnation:
+        own_incarnation = self._blackboard.identity.incarnation
+        if own_incarnation == self._incarnation:
             return
-        self._incarnation = own
+        self._incarnation = own_incarnation
         for share in self._shares_by_id.values():
             share.rate = ClaimedShare()
             share.streams = ClaimedShare()
@@ -189,11 +200,11 @@
     def _update_known_members(self) -> None:
         """Keep the last claims of lapsed routers until their VMs are known to have terminated."""
         live = self._blackboard.members_by_incarnation
-        self._known_by_incarnation.update(live)
-        for incarnation, member in list(self._known_by_incarnation.items()):
+        self._known_members_by_incarnation.update(live)
+        for incarnation, member in list(self._known_members_by_incarnation.items()):
             if incarnation in live or not self._is_claim_void(member):
                 continue
-            del self._known_by_incarnation[incarnation]
+            del self._known_members_by_incarnation[incarnation]
             self._absent_since.pop(incarnation, None)
 
     def _is_claim_void(self, member: Member) -> bool:
@@ -206,12 +217,12 @@
             self._absent_since.pop(member.incarnation, None)
             return False
         now = self._clock.monotonic()
-        since = self._absent_since.setdefault(member.incarnation, now)
-        return now - since >= VM_ABSENCE_SECONDS
+        absent_since = self._absent_since.setdefault(member.incarnation, now)
+        return now - absent_since >= VM_ABSENCE_SECONDS
 
     def _claims_by_workspace(self) -> dict[WorkspaceId, dict[IncarnationId, LimitClaim]]:
         claims: dict[WorkspaceId, dict[IncarnationId, LimitClaim]] = {}
-        for incarnation, member in self._known_by_incarnation.items():
+        for incarnation, member in self._known_members_by_incarnation.items():
             for claim in member.limit_claims:
                 claims.setdefault(claim.workspace, {})[incarnation] = claim
         return claims
--- a/packages/quinceferry-daemon/src/quinceferryd/shortages.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shortages.py
@@ -42,8 +42,8 @@
 class _RecallResult:
     """Tokens that peers returned and number of peers that were unreachable."""
 
-    returned: int = 0
-    unreachable: int = 0
+    returned_tokens: int = 0
+    unreachable_peers: int = 0
 
 
 def may_forward(request: CallerRequest) -> bool:
@@ -93,11 +93,13 @@
                     return self._forward(account, request)
                 case BudgetShortfall():
                     recalled = await self._recall_from_peers(account, request.workspace, tokens)
-                    if recalled.returned > 0:
+                    if recalled.returned_tokens > 0:
                         continue
-            wait = deadline - self._clock.monotonic()
+            wait_seconds = deadline - self._clock.monotonic()
             workspace = request.workspace
-            if wait <= 0 or not await account.allotments.wait_settled(workspace, wait):
+            if wait_seconds <= 0 or not await account.allotments.wait_settled(
+                workspace, wait_seconds
+            ):
                 return Failure(self._shortage_refusal(account, request, recalled))
 
     async def _recall_from_peers(
@@ -109,9 +111,11 @@
             recalled = _RecallResult()
             wanted = tokens - account.allotments.ledger(workspace).available
             for member in self.live_holders(account, workspace):
-                if recalled.returned >= wanted:
+                if recalled.returned_tokens >= wanted:
                     break
-                await self._recall_from(member, workspace, wanted - recalled.returned, recalled)
+                await self._recall_from(
+                    member, workspace, wanted - recalled.returned_tokens, recalled
+                )
             return recalled
 
     async def _recall_from(
@@ -121,15 +125,15 @@
         try:
             reply = await self._peers.recall(member.address, workspace, wanted)
         except PeerUnavailableError:
-            recalled.unreachable += 1
+            recalled.unreachable_peers += 1
             return
-        recalled.returned += reply.returned
+        recalled.returned_tokens += reply.returned
 
     def _forward(self, account: Account, request: CallerRequest) -> Result[ReserveOutcome, Failed]:
         """Choose peers to forward the request to while tokens cannot be moved."""
-        live_holders = self.live_holders(account, request.workspace) if may_forward(request) else ()
-        if live_holders:
-            return Success(ForwardTo(live_holders))
+        holders = self.live_holders(account, request.workspace) if may_forward(request) else ()
+        if holders:
+            return Success(ForwardTo(holders))
         return Failure(
             Failed(
                 RefusalReason.BUDGET_UNREACHABLE,
@@ -172,7 +176,7 @@
             tokens_held_by_others = record.outstanding - (
                 own_allotment.drawn if own_allotment else 0
             )
-        if recalled.unreachable and tokens_held_by_others > 0:
+        if recalled.unreachable_peers and tokens_held_by_others > 0:
             reason, retry = RefusalReason.BUDGET_UNREACHABLE, UNREACHABLE_RETRY_SECONDS
             detail = "a router that holds part of the budget is unreachable"
         elif ledger.reserved > 0 or tokens_held_by_others > 0:
