--- a/packages/quinceferry-daemon/src/quinceferryd/configuration.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/configuration.py
@@ -46,7 +46,7 @@
 """Poll rate of all routers together; in a larger fleet each router polls less often."""
 MAX_FLEET_CONFIRMATIONS_PER_SECOND = 200.0
 """Rate at which all routers together confirm a revision."""
-WATCH_RETRY_SECONDS = 1.0
+RETRY_DELAY_SECONDS = 1.0
 MAX_APPEND_ATTEMPTS = 3
 
 KeyHook = Callable[[str, KvEntry | None], Awaitable[None]]
@@ -150,7 +150,7 @@
             await self.synchronize()
             first_result = self._state.previous_result(operation_id, fingerprint)
             if first_result is not None:
-                return await self._repeat_answer(first_result)
+                return await self._repeat_result(first_result)
             checked = self._check(change, expected_revision)
             if isinstance(checked, Failure):
                 return checked
@@ -194,7 +194,7 @@
         proposer = self._blackboard.identity.incarnation
         return LogEntry(self._state.revision + 1, operation_id, change, proposer, fingerprint)
 
-    async def _repeat_answer(
+    async def _repeat_result(
         self, first_result: Result[int, ConfigurationConflict]
     ) -> Result[ChangeStatus, ConfigurationConflict]:
         if isinstance(first_result, Failure):
@@ -220,7 +220,7 @@
                 cursor = await self._watch_once(cursor)
             except KvError:
                 cursor = -1
-                await self._clock.sleep(WATCH_RETRY_SECONDS)
+                await self._clock.sleep(RETRY_DELAY_SECONDS)
 
     async def _watch_once(self, cursor: int) -> int:
         """Wait for one batch of changes and apply it.
@@ -284,7 +284,7 @@
             try:
                 await self._confirm()
             except KvError:
-                await self._clock.sleep(WATCH_RETRY_SECONDS)
+                await self._clock.sleep(RETRY_DELAY_SECONDS)
                 self._has_unconfirmed_revision.set()
             except FencedError:
                 continue
--- a/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
@@ -137,7 +137,7 @@
     async def _send(self, holder: IncarnationId, copies: tuple[EntryCopy, ...]) -> bool:
         """Send copies to a holder in one call; return whether it holds them.
 
-        A holder that has sealed this incarnation fences the journal.
+        The journal is fenced if the holder has sealed this incarnation.
         """
         member = self._blackboard.members_by_incarnation.get(holder)
         journal = self._journal
--- a/packages/quinceferry-daemon/src/quinceferryd/membership.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/membership.py
@@ -111,11 +111,11 @@
         self.spawn(self.view.poll(), "members-poll")
 
     def mark_listening(self) -> None:
-        """Set that this process owns its listening address; the next heartbeat records it."""
+        """Mark the listening address as owned by this process; the next heartbeat records it."""
         self._is_listening = True
 
     def mark_fenced(self) -> None:
-        """Set that this incarnation was closed; it is abandoned within a heartbeat interval."""
+        """Mark this incarnation as closed; it is abandoned within a heartbeat interval."""
         self._blackboard.state = RouterState.FENCED
 
     async def join(self) -> None:
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery.py
@@ -81,10 +81,10 @@
         owners = self._copies.owners()
         entries = await self._kv.list(INCARNATION_PREFIX)
         records = [msgspec.json.decode(entry.value, type=IncarnationRecord) for entry in entries]
-        present = {record.incarnation for record in records}
-        for incarnation in self._cases_by_incarnation.keys() - present:
+        recorded_incarnations = {record.incarnation for record in records}
+        for incarnation in self._cases_by_incarnation.keys() - recorded_incarnations:
             del self._cases_by_incarnation[incarnation]
-        for owner in owners - present:
+        for owner in owners - recorded_incarnations:
             self._accounts.append_bills(self._copies.remove_owner(owner))
         for entry, record in zip(entries, records, strict=True):
             others = tuple(other for other in records if other is not record)
