--- a/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/copy_sender.py
@@ -173,15 +173,15 @@
     async def _register(self, journal: JournalWriter) -> None:
         """Choose holders and write them to the incarnation record if they changed."""
         members = self._blackboard.members_by_incarnation
-        own = members.get(self._blackboard.identity.incarnation)
-        if own is None:
+        own_member = members.get(self._blackboard.identity.incarnation)
+        if own_member is None:
             return
-        others = [
+        other_members = [
             member
             for name, member in members.items()
-            if name != own.incarnation and member.state is MemberState.SERVING
+            if name != own_member.incarnation and member.state is MemberState.SERVING
         ]
-        chosen = choose_holders(own, others)
+        chosen = choose_holders(own_member, other_members)
         if self._registration_confirmed and chosen == self._holders:
             return
         if not journal.is_flushed:
--- a/packages/quinceferry-daemon/src/quinceferryd/holdings.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/holdings.py
@@ -29,7 +29,7 @@
     """State of this incarnation's allotment of one workspace's budget.
 
     ``sequence`` is the number of the last operation on the budget record, and ``has_unknown_write``
-    tells that its answer was lost. ``record`` is the budget record as last read or written.
+    is set if its answer was lost. ``record`` is the budget record as last read or written.
     ``next_settlement`` is set and replaced at each settlement. Times are in monotonic seconds.
     """
 
--- a/packages/quinceferry-daemon/src/quinceferryd/order_shards.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/order_shards.py
@@ -160,13 +160,13 @@
 
     async def _acquire(self, name: str) -> None:
         """Acquire a shard that has no record, or one from an unanswered write of this router."""
-        own = self._blackboard.identity.incarnation
+        own_incarnation = self._blackboard.identity.incarnation
         existing = await self._kv.get(_key(name))
         if existing is None:
-            record = ShardRecord(own, await self._membership.fencing_counter.draw())
+            record = ShardRecord(own_incarnation, await self._membership.fencing_counter.draw())
         else:
             record = msgspec.json.decode(existing.value, type=ShardRecord)
-        if record.holder != own:
+        if record.holder != own_incarnation:
             return
         self._uncertain_since_by_name[name] = self._now()
         lease = self._membership.lease
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery.py
@@ -87,8 +87,8 @@
         for owner in owners - recorded_incarnations:
             self._accounts.append_bills(self._copies.remove_owner(owner))
         for entry, record in zip(entries, records, strict=True):
-            others = tuple(other for other in records if other is not record)
-            await self._check_one(entry, record, others)
+            other_records = tuple(other for other in records if other is not record)
+            await self._check_one(entry, record, other_records)
 
     async def _check_forever(self) -> None:
         """Check periodically while this router serves and the key-value service is available."""
@@ -111,7 +111,10 @@
         return max(self._settings.check_interval_seconds, members / MAX_FLEET_CHECKS_PER_SECOND)
 
     async def _check_one(
-        self, entry: KvEntry, record: IncarnationRecord, others: tuple[IncarnationRecord, ...]
+        self,
+        entry: KvEntry,
+        record: IncarnationRecord,
+        other_records: tuple[IncarnationRecord, ...],
     ) -> None:
         """Recover one incarnation if it has been without a lease for long enough."""
         incarnation = record.incarnation
@@ -130,9 +133,9 @@
         journal = await self._evidence.close_journal(incarnation)
         if case.closed_at is None:
             case.closed_at = now
-        await self._evidence.collect_copies(case, record, others)
+        await self._evidence.collect_copies(case, record, other_records)
         case.apply_copies(journal, incarnation, account)
-        proof = absence_proof(record, others, is_vm_terminated)
+        proof = absence_proof(record, other_records, is_vm_terminated)
         if proof is not None or not await self._evidence.is_process_reachable(record):
             await self._evidence.settle_requests(case, journal, incarnation, account)
         await self._free_tokens(case, journal, entry, record, proof)
@@ -163,9 +166,9 @@
         The time grows with this router's rank for the incarnation, so that routers act in turn.
         """
         members = sorted(self._blackboard.members_by_incarnation)
-        own = self._blackboard.identity.incarnation
+        own_incarnation = self._blackboard.identity.incarnation
         order = rendezvous_order(incarnation, members)
-        rank = order.index(own) if own in order else len(order)
+        rank = order.index(own_incarnation) if own_incarnation in order else len(order)
         return self._settings.absence_seconds + rank * self._settings.turn_seconds
 
     def _can_retire(
--- a/packages/quinceferry-daemon/src/quinceferryd/recovery_evidence.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recovery_evidence.py
@@ -87,15 +87,15 @@
         self,
         case: RecoveryCase,
         record: IncarnationRecord,
-        others: tuple[IncarnationRecord, ...],
+        other_records: tuple[IncarnationRecord, ...],
     ) -> None:
         """Collect the copies of entries that did not become durable from the registered holders.
 
         A holder that was closed itself may have rejoined; its process still has the copies.
 
-        :param others: records of other incarnations, which contain the holders' addresses.
+        :param other_records: records of other incarnations, which contain the holders' addresses.
         """
-        address_by_incarnation = {other.incarnation: other.address for other in others}
+        address_by_incarnation = {other.incarnation: other.address for other in other_records}
         for holder in record.copy_holders:
             if holder in case.answered_holders:
                 continue
