--- a/packages/quinceferry-daemon/src/quinceferryd/budgets.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/budgets.py
@@ -62,7 +62,7 @@
             stored = await self._create_top_up_record(workspace, TopUpRecord(operation, tokens))
             top_up_record = msgspec.json.decode(stored.value, type=TopUpRecord)
             if top_up_record.tokens != tokens:
-                return Failure(TopUpRejected("the operation id was used with another amount"))
+                return Failure(TopUpRejected("the operation id was used for another amount"))
             if top_up_record.applied:
                 return Success(await self.balance(workspace))
             record = await self._apply_top_up(workspace, top_up_record)
@@ -72,7 +72,7 @@
             return Failure(TopUpRejected(str(error), is_outcome_unknown=True))
         except KvConflictError as error:
             return Failure(
-                TopUpRejected(f"the budget record keeps changing: {error}", is_outcome_unknown=True)
+                TopUpRejected(f"too many concurrent changes: {error}", is_outcome_unknown=True)
             )
 
     async def balance(self, workspace: WorkspaceId) -> Balance:
@@ -141,7 +141,7 @@
                 return changed
             except KvConflictError:
                 continue
-        raise KvConflictError("too many conflicting writes", step="budget.top_up", peer=workspace)
+        raise KvConflictError("gave up after many conflicts", step="budget.top_up", peer=workspace)
 
     async def _is_applied(self, workspace: WorkspaceId, operation: OperationId) -> bool:
         """Return whether the record of a top-up is marked as applied."""
--- a/packages/quinceferry-daemon/src/quinceferryd/recording.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/recording.py
@@ -29,7 +29,7 @@
     RefusalReason.BILLING_UNREACHABLE,
     NEVER_SENT,
     RETRY_SECONDS,
-    "the journal entry for billing could not be written",
+    "the bill cannot be recorded now",
     step="journal.append",
 )
 
@@ -37,14 +37,14 @@
     RefusalReason.BUDGET_UNREACHABLE,
     Unknown(),
     RETRY_SECONDS,
-    "there are not enough tokens for another attempt",
+    "there are no tokens for another attempt",
     step="budget.reserve",
 )
 
 
 def router_not_ready_refusal(step: str) -> Failed:
     """Return the refusal of a router that has no open incarnation to run a request under."""
-    detail = "this router is currently not a member of the fleet"
+    detail = "this router is not a member of the fleet now"
     return Failed(RefusalReason.ROUTER_NOT_READY, NEVER_SENT, RETRY_SECONDS, detail, step=step)
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/shares.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shares.py
@@ -260,6 +260,6 @@
         reason,
         NotRun(NotRunProof.NEVER_SENT),
         retry_after_seconds,
-        detail="the workspace exceeds its limit at this router",
+        detail="the workspace is above its limit at this router",
         step="scheduling.enter",
     )
--- a/packages/quinceferry-daemon/src/quinceferryd/shortages.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shortages.py
@@ -139,7 +139,7 @@
                 RefusalReason.BUDGET_UNREACHABLE,
                 NotRun(NotRunProof.NEVER_SENT),
                 UNREACHABLE_RETRY_SECONDS,
-                "the budget record is unreachable and this router's allotment is too small",
+                "the budget record cannot be reached and this router's allotment is used up",
                 step="budget.reserve",
             )
         )
@@ -178,7 +178,7 @@
             )
         if recalled.unreachable_peers and tokens_held_by_others > 0:
             reason, retry = RefusalReason.BUDGET_UNREACHABLE, UNREACHABLE_RETRY_SECONDS
-            detail = "a router that holds part of the budget is unreachable"
+            detail = "a router that holds a part of the budget cannot be reached"
         elif ledger.reserved > 0 or tokens_held_by_others > 0:
             reason, retry = RefusalReason.BUDGET_SPENT, BUSY_RETRY_SECONDS
             detail = "the rest of the budget is reserved for requests in progress"
