--- a/packages/quinceferry-gateway/src/quinceferry_gateway/callers.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/callers.py
@@ -123,10 +123,10 @@
         if sum(len(name) + len(value) for name, value in scope["headers"]) > (
             limits.max_header_bytes
         ):
-            return Refusal(Reason.OVERSIZED, "the headers are too large", _OVERSIZED_HEADERS_STATUS)
+            return Refusal(Reason.OVERSIZED, "headers too large", _OVERSIZED_HEADERS_STATUS)
         body = await exchange.read_body(limits)
         if configuration is None:
-            return Refusal(Reason.STARTING, "no configuration has been read yet")
+            return Refusal(Reason.STARTING, "no configuration yet")
         target = scope["raw_path"]
         if scope["query_string"]:
             target += b"?" + scope["query_string"]
@@ -136,9 +136,7 @@
         # The configuration may have changed while the body was being read.
         configuration = self._blackboard.configuration or configuration
         if self._freshness.is_outdated:
-            return Refusal(
-                Reason.CONFIGURATION_OUTDATED, f"configuration version {configuration.version}"
-            )
+            return Refusal(Reason.CONFIGURATION_OUTDATED, f"version {configuration.version}")
         route = configuration.route(call.host, call.path)
         if route is None:
             return self._denial(Reason.NO_ROUTE, configuration)
@@ -153,7 +151,7 @@
         """Return the refusal of a request that the configuration does not allow."""
         if self._freshness.may_be_outdated:
             reason = Reason.CONFIGURATION_OUTDATED
-        return Refusal(reason, f"configuration version {configuration.version}")
+        return Refusal(reason, f"version {configuration.version}")
 
     def _new_progress(
         self,
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/exchanges.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/exchanges.py
@@ -73,13 +73,9 @@
             if head.not_run:
                 return NotRun(f"status {head.status}", True, head.misdirected)
             if head.request_id and head.request_id != call.request_id:
-                raise ForeignAnswerError(
-                    "the answer belongs to another request", peer=upstream.address
-                )
+                raise ForeignAnswerError("answer to another request", peer=upstream.address)
             if head.status < FIRST_ERROR_STATUS and not head.genuine:
-                raise ConnectionBrokenError(
-                    "the answer lacks the mark of an upstream", peer=upstream.address
-                )
+                raise ConnectionBrokenError("answer without its mark", peer=upstream.address)
             attempt.record_accepted()
             if progress.route.kind is RouteKind.STREAM and head.status == OK:
                 return await self._forward_events(progress, head, reply, attempt)
@@ -102,7 +98,7 @@
                 async with asyncio.timeout(self._max_event_gap_seconds(progress)):
                     chunk = await anext(chunks, None)
             except TimeoutError as error:
-                raise ConnectionBrokenError("no event received in time", step="events") from error
+                raise ConnectionBrokenError("stream fell silent", step="events") from error
             if chunk is None:
                 break
             events = stream.buffer.feed(chunk)
@@ -112,7 +108,7 @@
                 stream.pace.record_event(now)
                 await self._send_events(stream, head, events)
         if stream.buffer.pending:
-            raise ConnectionBrokenError("the stream ended inside an event", step="events")
+            raise ConnectionBrokenError("stream ended within an event", step="events")
         if not stream.head_sent:
             await self._send_events(stream, head, b"")
         attempt.record_success()
@@ -146,6 +142,6 @@
     async for chunk in reply.chunks():
         size += len(chunk)
         if size > MAX_ANSWER_BYTES:
-            raise ConnectionBrokenError("the answer is too large", step="body", peer=address)
+            raise ConnectionBrokenError("answer too large", step="body", peer=address)
         parts.append(chunk)
     return b"".join(parts)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/relay.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/relay.py
@@ -177,7 +177,7 @@
             self._selector.remaining_pause_seconds(progress), MAX_RETRY_AFTER_SECONDS
         )
         if pause_seconds:
-            detail = progress.last_detail or "all upstreams are paused"
+            detail = progress.last_detail or "all upstreams asked for a pause"
             return Refusal(Reason.UPSTREAMS_PAUSED, detail, retry_seconds=pause_seconds)
         reason = Reason.UPSTREAMS_REFUSED if progress.tried_upstream_ids else Reason.NO_UPSTREAM
         return Refusal(reason, progress.last_detail)
@@ -188,7 +188,7 @@
         """Return the final answer to a request that got no permit in time."""
         if progress.last_failure is not None or progress.may_have_run:
             return self._given_up_answer(progress)
-        detail = progress.last_detail or "all upstreams are rate limited"
+        detail = progress.last_detail or "all upstreams limit their request rate"
         return Refusal(Reason.UPSTREAMS_LIMITED, detail, retry_seconds=retry_seconds)
 
     @staticmethod
@@ -245,7 +245,7 @@
             attempt.record_failure(self._clock.monotonic())
             return UnknownOutcome(str(error))
         except TimeoutError:
-            return UnknownOutcome("the request's deadline has passed")
+            return UnknownOutcome("the request's time is up")
         finally:
             attempt.finish(self._clock.monotonic())
 
@@ -284,9 +284,7 @@
                 and self._can_retry_elsewhere(progress)
                 and self._acquire_retry(progress)
             ):
-                raise ConnectionBrokenError(
-                    "no byte received in time", step="wait", peer=upstream.address
-                )
+                raise ConnectionBrokenError("no answer yet", step="wait", peer=upstream.address)
             return await exchange
         finally:
             exchange.cancel()
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/reservations.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/reservations.py
@@ -241,7 +241,7 @@
             return await self._holder.reserve_for_request(request)
         peer = board.members_by_vm.get(vm)
         if peer is None:
-            raise PeerError("the holder is no longer a member", step="reserve", peer=vm, sent=False)
+            raise PeerError("no longer a member", step="reserve", peer=vm, sent=False)
         return await self._peers.reserve(peer, request, RESERVE_TIMEOUT_SECONDS)
 
     def _queue_settlement(self, holder: str, settlement: Settlement) -> None:
