--- a/packages/quinceferry-gateway/src/quinceferry_gateway/allotment_targets.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/allotment_targets.py
@@ -71,8 +71,7 @@
         """Return an upper bound of the tokens that a workspace has left.
 
         If the reading of the record is recent, tokens of terminated holders count as spent.
-        Otherwise callers would be told again and again to retry for tokens that no holder can
-        provide.
+        Otherwise callers would repeatedly be asked to retry for tokens that no holder can provide.
         """
         budget = self._shared_budgets.budget(workspace)
         drawable = self.drawable_tokens(workspace)
