--- a/packages/quinceferry-gateway/src/quinceferry_gateway/membership.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/membership.py
@@ -129,7 +129,7 @@
         registered: asyncio.Event,
     ) -> None:
         super().__init__()
-        self._is_own_registered = registered
+        self._registered = registered
         self._blackboard = blackboard
         self._source = source
         self._clock = clock
@@ -218,7 +218,7 @@
     async def _read_when_due(self) -> None:
         """Read the list whenever it is due; keep the last one in an outage of the store."""
         board = self._blackboard
-        await self._is_own_registered.wait()
+        await self._registered.wait()
         while True:
             now = self._clock.monotonic()
             due_at = self._schedule.due_at(board.is_store_reader, board.members_read_at)
