--- a/packages/quinceferry-daemon/src/quinceferryd/addresses.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/addresses.py
@@ -38,7 +38,7 @@
         self._settings = settings
         self._issue_ticket = issue_ticket
         self._peers = peers
-        self.answers = 0
+        self.answer_count = 0
 
     def answer(self, workspace: WorkspaceId, caller_zone: str = "") -> AddressAnswer:
         """Return the addresses for a workspace; there are none while no router serves.
@@ -53,7 +53,7 @@
         advertised = order_homes_for_caller(
             homes, caller_zone or self._blackboard.identity.zone, count
         )
-        self.answers += 1
+        self.answer_count += 1
         if not advertised:
             return AddressAnswer((), self._settings.answer_ttl_seconds)
         addresses = tuple(member.address for member in advertised)
--- a/packages/quinceferry-daemon/src/quinceferryd/engine_orders.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/engine_orders.py
@@ -84,8 +84,8 @@
         """Return an engine's record; read its report again if it is not recent enough."""
         state = self.state(spec.id)
         now = self._clock.monotonic()
-        is_settling = now < state.ordered_at + REPORT_LAG_SECONDS + REPORT_INTERVAL_SECONDS
-        if is_settling or state.loading or now >= state.read_at + self._report_interval_seconds:
+        is_order_recent = now < state.ordered_at + REPORT_LAG_SECONDS + REPORT_INTERVAL_SECONDS
+        if is_order_recent or state.loading or now >= state.read_at + self._report_interval_seconds:
             await self._read_report(spec, state)
         return self._build_record(spec, state)
 
--- a/packages/quinceferry-daemon/src/quinceferryd/members.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/members.py
@@ -71,7 +71,7 @@
         self._own_member = None
         self._blackboard.published_limit_claims = None
 
-    async def run(self) -> None:
+    async def follow(self) -> None:
         """Follow the records until cancelled."""
         while True:
             try:
--- a/packages/quinceferry-daemon/src/quinceferryd/membership.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/membership.py
@@ -107,7 +107,7 @@
     async def start(self) -> None:
         """Join in the background, retrying until the key-value service answers."""
         self.spawn(self._maintain_membership(), "membership")
-        self.spawn(self.view.run(), "members-watch")
+        self.spawn(self.view.follow(), "members-watch")
         self.spawn(self.view.poll(), "members-poll")
 
     def mark_listening(self) -> None:
--- a/packages/quinceferry-daemon/src/quinceferryd/order_shards.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/order_shards.py
@@ -41,14 +41,16 @@
     ``version`` is that of the stored record, and ``sequence`` the number of the last order.
     """
 
-    __slots__ = ("name", "fencing", "lease", "version", "since", "engines", "sequence")
+    __slots__ = ("name", "fencing", "lease", "version", "held_since", "engines", "sequence")
 
-    def __init__(self, name: str, fencing: int, lease: str, version: int, since: float) -> None:
+    def __init__(
+        self, name: str, fencing: int, lease: str, version: int, held_since: float
+    ) -> None:
         self.name = name
         self.fencing = fencing
         self.lease = lease
         self.version = version
-        self.since = since
+        self.held_since = held_since
         self.engines: tuple[EngineRecord, ...] = ()
         self.sequence = 0
 
--- a/packages/quinceferry-daemon/src/quinceferryd/orders.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/orders.py
@@ -149,13 +149,18 @@
 
     def _start_loads(self) -> None:
         wanted = attached_models(self._blackboard.configuration)
-        for wish in plan_loads(wanted, self._fleet_demand, list(self._fleet_engines.values())):
-            shard = self._shard_of(wish.upstream)
-            state = self.engines.state(wish.upstream) if shard else None
+        for planned_load in plan_loads(
+            wanted, self._fleet_demand, list(self._fleet_engines.values())
+        ):
+            shard = self._shard_of(planned_load.upstream)
+            state = self.engines.state(planned_load.upstream) if shard else None
             if shard is None or state is None or state.loading:
                 continue
-            state.loading = wish.model
-            self.spawn(self._load(shard, wish), f"load {wish.model} at {wish.upstream}")
+            state.loading = planned_load.model
+            self.spawn(
+                self._load(shard, planned_load),
+                f"load {planned_load.model} at {planned_load.upstream}",
+            )
 
     def _shard_of(self, upstream: UpstreamId) -> HeldShard | None:
         specs_by_shard = self.shards.engines_by_shard()
@@ -164,31 +169,31 @@
                 return shard
         return None
 
-    async def _load(self, shard: HeldShard, wish: PlannedLoad) -> None:
+    async def _load(self, shard: HeldShard, planned_load: PlannedLoad) -> None:
         """Wait for a turn at the weight store, then order an engine to load a model."""
         try:
             async with self._queue.turn():
-                await self._order_load_until_done(shard, wish)
+                await self._order_load_until_done(shard, planned_load)
         except KvError:
             return
         finally:
-            self.engines.state(wish.upstream).loading = None
+            self.engines.state(planned_load.upstream).loading = None
 
-    async def _order_load_until_done(self, shard: HeldShard, wish: PlannedLoad) -> None:
+    async def _order_load_until_done(self, shard: HeldShard, planned_load: PlannedLoad) -> None:
         """Repeat a load order until a report shows the model, the shard is lost or it times out."""
         ends_at = self._clock.monotonic() + MAX_LOAD_SECONDS
         repeat_at = float("-inf")
         while self._clock.monotonic() < ends_at:
-            spec = self._blackboard.configuration.upstreams_by_id.get(wish.upstream)
+            spec = self._blackboard.configuration.upstreams_by_id.get(planned_load.upstream)
             if spec is None or not self.shards.can_send(shard):
                 return
             if self._clock.monotonic() >= repeat_at:
                 repeat_at = self._clock.monotonic() + LOAD_REPEAT_INTERVAL_SECONDS
-                if not await self.engines.load(shard, spec, wish.model):
+                if not await self.engines.load(shard, spec, planned_load.model):
                     return
             await self._clock.sleep(LOAD_CHECK_INTERVAL_SECONDS)
             record = await self.engines.observe(spec)
-            if not record.usable or wish.model in record.loaded:
+            if not record.usable or planned_load.model in record.loaded:
                 return
 
     async def _send_other_orders(self, shard: HeldShard, spec: UpstreamSpec) -> None:
@@ -197,7 +202,7 @@
         if engine is None or not engine.usable:
             return
         await self.engines.order_role(shard, spec)
-        if self._clock.monotonic() < shard.since + TAKEOVER_DELAY_SECONDS:
+        if self._clock.monotonic() < shard.held_since + TAKEOVER_DELAY_SECONDS:
             return
         model_to_unload = self._next_model_to_unload(engine)
         if model_to_unload is not None and self.engines.is_report_current(spec.id):
