--- a/packages/quinceferry-gateway/src/quinceferry_gateway/configuration_reader.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/configuration_reader.py
@@ -128,11 +128,11 @@
         read_at = None if board.configuration is None else board.configuration_read_at
         return summarize_copy(board.revision, self._document_checksum, read_at, now)
 
-    def confirm(self, revision: int, asked_at: float) -> None:
+    def confirm(self, revision: int, requested_at: float) -> None:
         """Record that the configuration in force was the newest at a time and revision."""
         board = self._blackboard
         board.revision = max(board.revision, revision)
-        board.configuration_read_at = max(asked_at, board.configuration_read_at or asked_at)
+        board.configuration_read_at = max(requested_at, board.configuration_read_at or requested_at)
 
     def encode(self, now: float) -> bytes | None:
         """Return the encoded configuration for a peer, None without a configuration."""
@@ -166,15 +166,15 @@
         has_configuration = False
         board = self._blackboard
         while True:
-            asked_at = self._clock.monotonic()
+            requested_at = self._clock.monotonic()
             if not board.is_store_reader or not has_configuration:
-                pause = self._pause_seconds(asked_at)
+                pause = self._pause_seconds(requested_at)
                 if pause:
                     await self._clock.sleep(pause)
                     continue
             try:
                 has_configuration = await (
-                    self._watch(asked_at) if has_configuration else self._read()
+                    self._watch(requested_at) if has_configuration else self._read()
                 )
             except WatchLostError as error:
                 has_configuration = False
@@ -194,17 +194,17 @@
             return SKIPPED_READ_SECONDS
         return pause
 
-    async def _watch(self, asked_at: float) -> bool:
+    async def _watch(self, requested_at: float) -> bool:
         """Wait for a change and apply it; return whether the store has a usable configuration."""
         known_revision = self._blackboard.revision
         wait_seconds = self._next_watch_seconds()
-        self._schedule.read_started(asked_at)
+        self._schedule.read_started(requested_at)
         newest = await self._source.next_configuration(known_revision, wait_seconds)
         self._has_last_watch_changed = newest is not None
         if newest is not None:
-            return self._apply_from_store(*newest, asked_at)
+            return self._apply_from_store(*newest, requested_at)
         # The answer shows that nothing had changed by the end of the wait.
-        self.confirm(known_revision, asked_at + wait_seconds)
+        self.confirm(known_revision, requested_at + wait_seconds)
         return True
 
     def _next_watch_seconds(self) -> float:
@@ -217,19 +217,19 @@
 
     async def _read(self) -> bool:
         """Read and apply the newest configuration; return whether the store has a usable one."""
-        asked_at = self._clock.monotonic()
-        self._schedule.read_started(asked_at)
+        requested_at = self._clock.monotonic()
+        self._schedule.read_started(requested_at)
         newest = await self._source.configuration()
         record_store_answer(self._blackboard)
         if newest is None:
             self._schedule.delay(UNSET_RETRY_INTERVAL_SECONDS, self._clock.monotonic())
             return False
-        return self._apply_from_store(*newest, asked_at)
+        return self._apply_from_store(*newest, requested_at)
 
-    def _apply_from_store(self, document: bytes, revision: int, asked_at: float) -> bool:
+    def _apply_from_store(self, document: bytes, revision: int, requested_at: float) -> bool:
         """Apply the newest configuration of the store; return whether it could be decoded."""
         if self.apply_newer(document, revision, "store"):
-            self.confirm(revision, asked_at)
+            self.confirm(revision, requested_at)
             return True
         self._schedule.delay(UNREADABLE_RETRY_INTERVAL_SECONDS, self._clock.monotonic())
         return False
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/copies.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/copies.py
@@ -46,7 +46,7 @@
     def summary(self, now: float) -> CopySummary | None:
         """Return which copy this gateway has, None without one."""
 
-    def confirm(self, revision: int, asked_at: float) -> None:
+    def confirm(self, revision: int, requested_at: float) -> None:
         """Record that the store had the content of the copy at that time and revision."""
 
     def encode(self, now: float) -> bytes | None:
@@ -153,10 +153,10 @@
 
     async def _fetch(self, kind: str, sender: Member) -> None:
         """Fetch a list from a peer and adopt it."""
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         try:
             body = await self._peers.copy(sender, kind, FETCH_TIMEOUT_SECONDS)
-            self._lists_by_kind[kind].adopt(body, sender.vm, asked_at)
+            self._lists_by_kind[kind].adopt(body, sender.vm, requested_at)
             self._on_update(True)
         except PeerError as error:
             log.failure("copy.not_fetched", kind=kind, peer=sender.vm, error=str(error))
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/gossip.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/gossip.py
@@ -80,7 +80,7 @@
         self._suspects: set[str] = set()
         self._next_at = 0.0
         self._sent_at = float("-inf")
-        self._sent_copies_asked_at = float("-inf")
+        self._sent_copies_requested_at = float("-inf")
         self._replied_at_by_vm: dict[str, float] = {}
         port.add_handler(Digest, self.handle_digest)
 
@@ -102,7 +102,8 @@
         """
         since_sent = self._clock.monotonic() - self._sent_at
         more_recent = (
-            self._oldest_asked_at() - self._sent_copies_asked_at > MIN_FRESHNESS_GAIN_SECONDS
+            self._oldest_requested_at() - self._sent_copies_requested_at
+            > MIN_FRESHNESS_GAIN_SECONDS
         )
         send_changed = content_changed and since_sent > CONTENT_PAUSE_SECONDS
         send_fresher = more_recent and since_sent > FRESHNESS_PAUSE_SECONDS
@@ -179,7 +180,7 @@
         now = self._clock.monotonic()
         spread = 1 + PERIOD_SPREAD * (self._random.random() - 0.5)
         self._next_at = now + PERIOD_SECONDS * spread
-        self._sent_at, self._sent_copies_asked_at = now, self._oldest_asked_at()
+        self._sent_at, self._sent_copies_requested_at = now, self._oldest_requested_at()
         chosen = self._choose_peers(fanout)
         self._port.send(self._build_digest(now), [member.peer_address for member in chosen])
 
@@ -306,7 +307,7 @@
         self.liveness.reset(self._clock.monotonic())
         self._blackboard.backdate_copies(seconds)
 
-    def _oldest_asked_at(self) -> float:
+    def _oldest_requested_at(self) -> float:
         """Return when the older one of the copies that must be recent was requested."""
         board = self._blackboard
         read_at = (board.upstreams_read_at, board.configuration_read_at)
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/read_schedule.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/fleet/read_schedule.py
@@ -67,15 +67,15 @@
         self._retry_at = 0.0
         self._jitter_seconds = 0.0
 
-    def due_at(self, is_reader: bool, asked_at: float | None) -> float:
+    def due_at(self, is_reader: bool, requested_at: float | None) -> float:
         """Return when to read next.
 
         :param is_reader: whether this gateway is a designated reader.
-        :param asked_at: when the read of its copy was requested; None without a copy.
+        :param requested_at: when the read of its copy was requested; None without a copy.
         """
-        if asked_at is None or self._last_started_at is None and is_reader:
+        if requested_at is None or self._last_started_at is None and is_reader:
             return self._retry_at
-        due_at = asked_at + self._max_age_seconds + self._jitter_seconds
+        due_at = requested_at + self._max_age_seconds + self._jitter_seconds
         if is_reader:
             due_at = min(due_at, self._last_started_at + self._interval_seconds)
         return max(due_at, self._retry_at)
@@ -86,20 +86,20 @@
         self._last_started_at = now
         self._jitter_seconds = self._draw_jitter(share)
 
-    def read_failed(self, is_reader: bool, asked_at: float | None, now: float) -> None:
+    def read_failed(self, is_reader: bool, requested_at: float | None, now: float) -> None:
         """Record that a read failed, and draw the pause before the next one.
 
         A gateway without a copy pauses as a designated reader does. With the longer pause, none of
         the gateways that were stopped together serves for four seconds after their restart.
         """
-        urgent = is_reader or asked_at is None
+        urgent = is_reader or requested_at is None
         self.delay(
             RETRY_SECONDS if urgent else self._random.uniform(*NON_READER_RETRY_SECONDS), now
         )
 
-    def pause_seconds(self, is_reader: bool, asked_at: float | None, now: float) -> float:
+    def pause_seconds(self, is_reader: bool, requested_at: float | None, now: float) -> float:
         """Return the time until the next check of the schedule; zero when a read is due."""
-        remaining_seconds = self.due_at(is_reader, asked_at) - now
+        remaining_seconds = self.due_at(is_reader, requested_at) - now
         if remaining_seconds <= 0:
             return 0.0
         return min(MAX_PAUSE_SECONDS, max(MIN_PAUSE_SECONDS, remaining_seconds))
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/membership.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/membership.py
@@ -169,11 +169,11 @@
         read_at = self._blackboard.members_read_at
         return summarize_copy(self._revision, self._members_checksum, read_at, now)
 
-    def confirm(self, revision: int, asked_at: float) -> None:
+    def confirm(self, revision: int, requested_at: float) -> None:
         """Record that the store had the same list at a time and revision."""
         board = self._blackboard
         self._revision = max(self._revision, revision)
-        board.members_read_at = max(asked_at, board.members_read_at or asked_at)
+        board.members_read_at = max(requested_at, board.members_read_at or requested_at)
 
     def encode(self, now: float) -> bytes | None:
         """Return the encoded list for a peer, None without a list."""
@@ -229,9 +229,9 @@
             else:
                 await self._read(now)
 
-    async def _read(self, asked_at: float) -> None:
+    async def _read(self, requested_at: float) -> None:
         """Read the list from the store."""
-        self._schedule.read_started(asked_at)
+        self._schedule.read_started(requested_at)
         try:
             snapshot = await self._source.snapshot(MEMBER_PREFIX)
         except KvError as error:
@@ -241,15 +241,17 @@
             return
         record_store_answer(self._blackboard)
         if snapshot.revision >= self._revision:
-            self._adopt_list(_decode_newest_by_vm(snapshot.entries), snapshot.revision, asked_at)
+            self._adopt_list(
+                _decode_newest_by_vm(snapshot.entries), snapshot.revision, requested_at
+            )
 
-    def _adopt_list(self, members: list[Member], revision: int, asked_at: float) -> None:
+    def _adopt_list(self, members: list[Member], revision: int, requested_at: float) -> None:
         """Adopt a list that is not older than the current one."""
         board = self._blackboard
         self._registered_members = members
         self._members_checksum = _checksum(members)
         self._revision = revision
-        board.members_read_at = asked_at
+        board.members_read_at = requested_at
         self.merge_registered(members)
 
 
--- a/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
+++ b/packages/quinceferry-gateway/src/quinceferry_gateway/upstream_reader.py
@@ -93,13 +93,13 @@
         board = self._blackboard
         return summarize_copy(board.upstreams_revision, self._content, board.upstreams_read_at, now)
 
-    def confirm(self, revision: int, asked_at: float) -> None:
+    def confirm(self, revision: int, requested_at: float) -> None:
         """Record that the store had the same list at that time and revision."""
         board = self._blackboard
         board.upstreams_revision = max(board.upstreams_revision, revision)
-        if board.upstreams_read_at is None or asked_at > board.upstreams_read_at:
-            board.upstreams_read_at = asked_at
-            self._absences.confirm_list(asked_at)
+        if board.upstreams_read_at is None or requested_at > board.upstreams_read_at:
+            board.upstreams_read_at = requested_at
+            self._absences.confirm_list(requested_at)
 
     def encode(self, now: float) -> bytes | None:
         """Return the list for a peer, None without one."""
@@ -125,14 +125,14 @@
         copy = msgspec.msgpack.decode(unpack(body), type=UpstreamsCopy)
         if copy.age_seconds < 0 or copy.revision <= self._blackboard.upstreams_revision:
             return
-        asked_at = now - copy.age_seconds
+        requested_at = now - copy.age_seconds
         listed_by_id = {item.id: item for item in copy.listed}
         absent_by_id = {
             item.upstream.id: (item.upstream, now + min(item.seconds, ABSENCE_GRACE_SECONDS))
             for item in copy.absent
         }
-        self._absences.adopt(listed_by_id, absent_by_id, asked_at)
-        self._publish(copy.revision, asked_at, now)
+        self._absences.adopt(listed_by_id, absent_by_id, requested_at)
+        self._publish(copy.revision, requested_at, now)
 
     async def _follow(self) -> None:
         """Read the list when it is due, and remove missing entries whose time has expired."""
@@ -153,29 +153,29 @@
             )
             await self._clock.sleep(min(pause, remaining_seconds))
 
-    async def _read(self, asked_at: float) -> None:
+    async def _read(self, requested_at: float) -> None:
         """Read the list."""
-        self._schedule.read_started(asked_at)
+        self._schedule.read_started(requested_at)
         try:
             listed = await self._source.upstreams()
         except KvError as error:
-            self._absences.record_failure(asked_at)
+            self._absences.record_failure(requested_at)
             board, now = self._blackboard, self._clock.monotonic()
             record_store_failure(board, error)
             self._schedule.read_failed(board.is_store_reader, board.upstreams_read_at, now)
         else:
             record_store_answer(self._blackboard)
-            self._apply_list(listed, asked_at)
+            self._apply_list(listed, requested_at)
 
-    def _apply_list(self, listed: UpstreamList, asked_at: float) -> None:
+    def _apply_list(self, listed: UpstreamList, requested_at: float) -> None:
         """Apply a list that is not older than the current one."""
         if listed.revision < self._blackboard.upstreams_revision:
             return
         now = self._clock.monotonic()
-        self._absences.apply_list(listed.by_id, asked_at, now)
-        self._publish(listed.revision, asked_at, now)
+        self._absences.apply_list(listed.by_id, requested_at, now)
+        self._publish(listed.revision, requested_at, now)
 
-    def _publish(self, revision: int, asked_at: float | None, now: float) -> None:
+    def _publish(self, revision: int, requested_at: float | None, now: float) -> None:
         """Write the upstreams that may be used to the blackboard."""
         board = self._blackboard
         retained = self._absences.retained(now)
@@ -185,7 +185,7 @@
         by_id = {**listed, **retained}
         self._log_changes(board.upstreams_by_id, by_id)
         board.upstreams_revision = revision
-        board.upstreams_read_at = asked_at
+        board.upstreams_read_at = requested_at
         board.upstreams_by_id = by_id
 
     def _record_absences(self, retained: dict[str, Upstream], now: float) -> None:
