--- a/packages/quinceferry-cli/src/quinceferry/configuration.py
+++ b/packages/quinceferry-cli/src/quinceferry/configuration.py
@@ -1,4 +1,7 @@
-"""Configuration of the command line: options, then the environment, then a TOML file."""
+"""Configuration of the command line.
+
+Options override environment variables, which override the TOML file.
+"""
 
 import tomllib
 from dataclasses import dataclass
--- a/packages/quinceferry-core/src/quinceferry_core/adapters.py
+++ b/packages/quinceferry-core/src/quinceferry_core/adapters.py
@@ -220,7 +220,7 @@
         """Read the cache events with a sequence number greater than ``after``."""
 
     async def order(self, upstream: UpstreamSpec, order: EngineOrder) -> None:
-        """Give an order.
+        """Send an order to an engine.
 
         :raises UpstreamRefusedError: the engine checks fencing numbers and this one is old.
         """
@@ -241,7 +241,7 @@
         """Request a peer to hold copies of journal entries."""
 
     async def collect(self, address: str, request: CollectRequest) -> CollectReply:
-        """Read a peer's copies for a closed incarnation, and seal them against additions."""
+        """Read a peer's copies for a closed incarnation, and seal them against further copies."""
 
     def forward(self, address: str, request: CallerRequest) -> AsyncIterator[AnswerEvent]:
         """Forward a request to a peer and return the events of its answer."""
