--- a/packages/quinceferry-cli/src/quinceferry/caller_commands.py
+++ b/packages/quinceferry-cli/src/quinceferry/caller_commands.py
@@ -16,12 +16,12 @@
 def address(configuration: ClientConfiguration) -> None:
     """Show the addresses to use, how long they are valid, and the ticket to send."""
 
-    async def work() -> None:
+    async def fetch_and_print() -> None:
         async with _client(configuration) as client:
             answer = await client.addresses()
         click.echo(msgspec.json.format(msgspec.json.encode(answer), indent=2).decode())
 
-    asyncio.run(work())
+    asyncio.run(fetch_and_print())
 
 
 @click.command("ask")
--- a/packages/quinceferry-cli/src/quinceferry/log_commands.py
+++ b/packages/quinceferry-cli/src/quinceferry/log_commands.py
@@ -20,7 +20,7 @@
     Without FILES, the log lines of the gateways are read from standard input. Exits with 1 when no
     line belongs to the request.
     """
-    records = read_records(_lines(files), request_id)
+    records = read_records(_read_lines(files), request_id)
     explanation = explain(records, request_id)
     for line in explanation.lines:
         click.echo(line)
@@ -29,10 +29,10 @@
         sys.exit(EXIT_NOT_FOUND)
 
 
-def _lines(files: tuple[Path, ...]) -> Iterator[str]:
+def _read_lines(files: tuple[Path, ...]) -> Iterator[str]:
     """Return the lines of all files, or of standard input."""
     if not files:
         yield from click.get_text_stream("stdin")
     for file in files:
-        with file.open(encoding="utf-8", errors="replace") as opened:
-            yield from opened
+        with file.open(encoding="utf-8", errors="replace") as stream:
+            yield from stream
--- a/packages/quinceferry-cli/src/quinceferry/operator_calls.py
+++ b/packages/quinceferry-cli/src/quinceferry/operator_calls.py
@@ -73,7 +73,7 @@
     wait = options.pop("wait")
     given = given_options(options)
 
-    async def work(client: OperatorClient) -> Any:
+    async def make_change(client: OperatorClient) -> Any:
         reply = await client.change(kind, **fields, **given)
         if wait:
             reply = await client.wait_accepted(reply, ACCEPT_TIMEOUT_SECONDS)
@@ -81,7 +81,7 @@
 
     if key:
         click.echo(f"workspace key: {key}", err=True)
-    run_call(configuration, work)
+    run_call(configuration, make_change)
 
 
 def run_message(configuration: ClientConfiguration, message: messages.Message) -> None:
@@ -92,12 +92,12 @@
 def run_call(configuration: ClientConfiguration, call: OperatorCall) -> None:
     """Make calls with a new client and print the result as JSON."""
 
-    async def work() -> Any:
+    async def run_with_client() -> Any:
         routers = configuration.require_routers()
         async with OperatorClient(routers, configuration.require_operator_key()) as client:
             return await call(client)
 
-    reply = asyncio.run(work())
+    reply = asyncio.run(run_with_client())
     click.echo(msgspec.json.format(msgspec.json.encode(reply), indent=2).decode())
 
 
--- a/packages/quinceferry-cli/src/quinceferry/operator_commands.py
+++ b/packages/quinceferry-cli/src/quinceferry/operator_commands.py
@@ -261,11 +261,11 @@
     def show(line: str) -> None:
         click.echo(line, err=True)
 
-    async def work(client: OperatorClient) -> Any:
+    async def drain_router(client: OperatorClient) -> Any:
         wait_seconds = timeout_seconds if wait else 0.0
         return await follow_drain(client, router, given_options(options), show, wait_seconds)
 
-    run_call(configuration, work)
+    run_call(configuration, drain_router)
 
 
 operator.add_command(status)
