--- a/features/fixtures_docs.py
+++ b/features/fixtures_docs.py
@@ -19,7 +19,7 @@
 from quinceferry_gateway.events import StreamPace
 from quinceferryd.application import Application, Dependencies
 from quinceferryd.blackboard import RouterState
-from quinceferryd.exports import export_state
+from quinceferryd.exports import export_router_metrics
 from quinceferryd.metrics import ScrapedMetrics
 from quinceferryd.refusals import STATUS_BY_REASON
 from quinceferryd.settings import Settings
@@ -207,16 +207,16 @@
 def _exposition():
     """Return the metrics of a router that has recorded each of them once."""
     metrics = ScrapedMetrics(WorkspaceLabels())
-    metrics.refused(None, RefusalReason.INTERNAL)
-    metrics.request_finished("w", Priority.HIGH, "run", Usage(1, 1))
-    metrics.first_token("w", Priority.HIGH, 0.1)
-    metrics.between_tokens("w", Priority.HIGH, 0.1)
-    metrics.queue_wait("w", Priority.HIGH, 0.1)
+    metrics.count_refusal(None, RefusalReason.INTERNAL)
+    metrics.count_finished_request("w", Priority.HIGH, "run", Usage(1, 1))
+    metrics.record_first_token("w", Priority.HIGH, 0.1)
+    metrics.record_time_between_tokens("w", Priority.HIGH, 0.1)
+    metrics.record_queue_wait("w", Priority.HIGH, 0.1)
     unused = Dependencies(SystemClock(), None, None, None, None, random.Random(1))
     router = Application(FakeApplication().settings, unused)
     router.scheduler.counters.admitted[Priority.HIGH] += 1
     router.kv.calls_by_kind[call_kind("get", "members/1")] += 1
-    export_state(router, metrics)
+    export_router_metrics(router, metrics)
     return metrics.exposition().decode().splitlines()
 
 
--- a/features/steps/daemon_process.py
+++ b/features/steps/daemon_process.py
@@ -28,7 +28,7 @@
 
 class FakeShutdown:
     def __init__(self):
-        self.requested = asyncio.Event()
+        self.stop_requested = asyncio.Event()
 
 
 class StoppableApplication(FakeApplication):
@@ -115,7 +115,7 @@
         for number in SIGNALS_BY_CAUSE[cause]:
             os.kill(os.getpid(), number)
         if not SIGNALS_BY_CAUSE[cause]:
-            application.shutdown.requested.set()
+            application.shutdown.stop_requested.set()
         await application.stopping.wait()
         context.status = await get_status(context, "/health")
         application.may_stop.set()
--- a/features/steps/router_metrics.py
+++ b/features/steps/router_metrics.py
@@ -19,7 +19,7 @@
 from quinceferryd import logs
 from quinceferryd.application import Application, Dependencies
 from quinceferryd.blackboard import Blackboard, Identity, RouterState
-from quinceferryd.exports import export_state
+from quinceferryd.exports import export_router_metrics
 from quinceferryd.metrics import ScrapedMetrics
 from quinceferryd.workspace_labels import OTHER_WORKSPACES, WorkspaceLabels
 
@@ -64,7 +64,7 @@
     context.metrics = ScrapedMetrics(WorkspaceLabels())
     unused = Dependencies(SystemClock(), None, None, None, None, random.Random(1))
     context.router = Application(FakeApplication().settings, unused)
-    export_state(context.router, context.metrics)
+    export_router_metrics(context.router, context.metrics)
 
 
 @when('it has admitted {admitted:d} requests, read "{key}" {calls:d} times and become ready')
@@ -147,7 +147,7 @@
     context.named = set()
     names = [f"workspace-{index}" for index in range(workspaces) for _ in range(count)]
     for name in [*names, *[busy] * more]:
-        context.named.add(context.labels.count(name))
+        context.named.add(context.labels.count_request(name))
 
 
 @when("the router joins, applies revision {revision:d} and is checked {checks:d} times")
--- a/features/steps/settings_file.py
+++ b/features/steps/settings_file.py
@@ -12,7 +12,7 @@
 from quinceferryd import main as daemon
 from quinceferryd.settings import Settings
 from quinceferryd.settings_file import SettingsFileError, load
-from quinceferryd.settings_rules import value_fault
+from quinceferryd.settings_rules import check_value
 
 REFERENCE = Path(__file__).parents[2] / "docs" / "settings.md"
 REQUIRED = {
@@ -161,7 +161,7 @@
     for table, kind in typing.get_type_hints(Settings).items():
         for field, expected in typing.get_type_hints(kind).items():
             if expected in (int, float):
-                assert value_fault(f"{table}.{field}", expected(-1)), f"{table}.{field}"
+                assert check_value(f"{table}.{field}", expected(-1)), f"{table}.{field}"
 
 
 @then("it exits with 0 and says that the settings are valid")
--- a/features/steps/shutdown.py
+++ b/features/steps/shutdown.py
@@ -8,7 +8,7 @@
 
 from quinceferry_core.membership import AbsenceProof, absence_proof
 from quinceferry_core.models import VmRecord
-from quinceferryd.shutdown import DRAIN_PREFIX, StopStep
+from quinceferryd.shutdown import DRAIN_KEY_PREFIX, StopStep
 
 ASK_SECONDS = 0.5
 REQUEST_SECONDS = 20.0
@@ -35,7 +35,7 @@
 def check_steps(context, vm):
     shutdown = context.fleet.routers_by_vm[vm].shutdown
     assert shutdown.steps == list(StopStep), shutdown.steps
-    assert shutdown.cut_requests == 0
+    assert shutdown.aborted_requests == 0
 
 
 @then('"{vm}" returned its allotments before it left')
@@ -67,7 +67,7 @@
 
 @then('router "{vm}" has been told to stop')
 def check_requested(context, vm):
-    assert context.fleet.routers_by_vm[vm].shutdown.requested.is_set()
+    assert context.fleet.routers_by_vm[vm].shutdown.stop_requested.is_set()
 
 
 @then('the operator at "{at}" sees "{vm}" in step "{name}" with {count:d} requests')
@@ -79,7 +79,7 @@
 
 @then("no order to drain is left")
 def check_no_order(context):
-    assert context.fleet.run(context.fleet.kv.list(DRAIN_PREFIX)) == []
+    assert context.fleet.run(context.fleet.kv.list(DRAIN_KEY_PREFIX)) == []
 
 
 @then('both drains are answered with the record of "{vm}"')
@@ -101,7 +101,7 @@
 
 @step('the stop of "{vm}" reports {count:d} cut request')
 def check_cut(context, vm, count):
-    assert context.fleet.routers_by_vm[vm].shutdown.cut_requests == count
+    assert context.fleet.routers_by_vm[vm].shutdown.aborted_requests == count
 
 
 class HeldAnswers:
@@ -160,7 +160,7 @@
         await start_replacement(fleet, f"vm-{number + 11}")
         operator = next(r for r in fleet.routers_by_vm.values() if r is not old)
         assert isinstance(await operator.operators.drain(old.incarnation, f"d-{number}"), Success)
-        await old.shutdown.requested.wait()
+        await old.shutdown.stop_requested.wait()
         old.open_requests = 1
         asyncio.get_running_loop().call_later(60 + REQUEST_SECONDS, end_request, old)
         await old.shutdown.run()
@@ -189,4 +189,4 @@
 
 @then("no stop cut a request")
 def check_nothing_cut(context):
-    assert [router.shutdown.cut_requests for router in context.stopped] == [0, 0, 0]
+    assert [router.shutdown.aborted_requests for router in context.stopped] == [0, 0, 0]
--- a/packages/quinceferry-daemon/src/quinceferryd/application.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/application.py
@@ -128,8 +128,10 @@
     def _build_membership(self, dependencies: Dependencies) -> None:
         """Build what makes this process a member and keeps the configuration."""
         settings = self.settings
-        shared = (self.blackboard, self.kv, self.clock, self._rng)
-        self.membership = MembershipController(*shared, settings.membership, self._on_fenced)
+        common_dependencies = (self.blackboard, self.kv, self.clock, self._rng)
+        self.membership = MembershipController(
+            *common_dependencies, settings.membership, self._close_fenced_account
+        )
         self.vms = VmListController(
             self.blackboard,
             dependencies.vms,
@@ -137,8 +139,10 @@
             self._rng,
             settings.platform.vm_list_interval_seconds,
         )
-        self.configuration = ConfigurationController(*shared, self.membership, self.vms)
-        self.accounts = AccountController(*shared, settings.budgets, settings.journal)
+        self.configuration = ConfigurationController(
+            *common_dependencies, self.membership, self.vms
+        )
+        self.accounts = AccountController(*common_dependencies, settings.budgets, settings.journal)
         self.allotments = self.accounts
         self.membership.add_join_hook(self.accounts.open)
         self.addresses = AddressController(
@@ -168,7 +172,7 @@
             settings.routing,
         )
         readiness = UpstreamReadiness(self.blackboard, self.clock, self.loads.upstreams_to_poll)
-        self.membership.add_join_hook(readiness.wait)
+        self.membership.add_join_hook(readiness.wait_for_load_reports)
         self.crashes = CrashWatch(self.blackboard, self.clock)
         self.streams = StreamRunner(
             dependencies.upstreams,
@@ -182,7 +186,7 @@
         shortages = ShortageHandler(self.blackboard, self.peers, self.clock, settings.budgets)
         self.copy_sender = CopySender(self.blackboard, self.peers, self.membership, self.clock)
         self.copies = CopyStore()
-        self.accounts.on_open.append(self._attach_copies)
+        self.accounts.on_open.append(self._switch_copies)
         recorder = RequestRecorder(
             self.blackboard,
             self.accounts,
@@ -255,10 +259,10 @@
             self.membership,
             self.configuration,
             lambda: self.pipeline.open_requests,
-            self._leave_accounts,
+            self._flush_bills_and_return_tokens,
         )
 
-    async def _leave_accounts(self) -> None:
+    async def _flush_bills_and_return_tokens(self) -> None:
         """Make bills durable, also those held for other routers, and return all tokens.
 
         Requests that are still open have reached the bound of the stop; they are ended and billed
@@ -268,11 +272,11 @@
         self.accounts.append_bills(self.copies.settlements())
         await self.accounts.flush_and_retire()
 
-    async def _on_fenced(self, incarnation: IncarnationId) -> None:
+    async def _close_fenced_account(self, incarnation: IncarnationId) -> None:
         """Wind up the account of an incarnation that another router has closed."""
         await self.accounts.close(incarnation)
 
-    def _attach_copies(self, account: Account) -> None:
+    def _switch_copies(self, account: Account) -> None:
         """Let a new incarnation place copies, and answer for those it holds."""
         self.copies.add_own_incarnation(account.incarnation)
         self.copy_sender.switch_journal(account.journal)
--- a/packages/quinceferry-daemon/src/quinceferryd/caller_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/caller_api.py
@@ -244,7 +244,7 @@
 
     def _error_response(self, workspace: WorkspaceId | None, failed: Failed) -> ASGIApp:
         """Return the error response to a request that was not submitted to the pipeline."""
-        self._application.metrics.refused(workspace, failed.reason)
+        self._application.metrics.count_refusal(workspace, failed.reason)
         return self._respond(lambda writer: write_failure(writer, failed))
 
     def _respond(self, relay: Relay) -> ASGIApp:
--- a/packages/quinceferry-daemon/src/quinceferryd/controllers.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/controllers.py
@@ -25,16 +25,16 @@
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
+    def spawn(self, coroutine: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
         """Run a coroutine until it ends or the controller stops.
 
         :param work: the coroutine to run.
         :param name: task name shown in diagnostics.
         :return: the task, which the controller owns.
         """
-        task = asyncio.create_task(work, name=name)
+        task = asyncio.create_task(coroutine, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._note_task_end)
+        task.add_done_callback(self._on_task_done)
         return task
 
     async def start(self) -> None:
@@ -47,7 +47,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _note_task_end(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         """Forget a task that has ended, and report one that failed for a reason nobody expected."""
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
--- a/packages/quinceferry-daemon/src/quinceferryd/daemon.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/daemon.py
@@ -11,7 +11,7 @@
 
 from quinceferry_core.clocks import SystemClock
 from quinceferryd.application import Application, Dependencies
-from quinceferryd.exports import export_state
+from quinceferryd.exports import export_router_metrics
 from quinceferryd.http_transport import StreamingTransport
 from quinceferryd.kv_client import HttpKv
 from quinceferryd.logs import ChangeLog
@@ -31,24 +31,24 @@
 
 async def run(settings: Settings) -> None:
     """Run a router until a signal or an operator stops it; no request in progress is cut."""
-    stopping = stop_on_signals()
+    stop_requested = stop_on_signals()
     metrics = ScrapedMetrics(WorkspaceLabels())
-    async with _connected(settings, metrics) as dependencies:
+    async with _open_dependencies(settings, metrics) as dependencies:
         application = Application(settings, dependencies)
-        export_state(application, metrics)
-        await serve_until(application, stopping)
+        export_router_metrics(application, metrics)
+        await serve_until(application, stop_requested)
 
 
 def stop_on_signals() -> asyncio.Event:
     """Return an event that the first stop signal sets; further ones change nothing."""
-    stopping = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in _STOP_SIGNALS:
-        loop.add_signal_handler(number, stopping.set)
-    return stopping
+    for signal_number in _STOP_SIGNALS:
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    return stop_requested
 
 
-async def serve_until(application: Application, stopping: asyncio.Event) -> None:
+async def serve_until(application: Application, stop_requested: asyncio.Event) -> None:
     """Serve an application until it is told to stop.
 
     The socket listens before the router joins, so that callers are told why they must wait, and
@@ -58,38 +58,40 @@
     """
     settings = application.settings
     app = build_app(application, build_operator_routes(application))
-    reader_timeout = settings.streams.reader_timeout_seconds
-    server = HttpServer(app, settings.router.host, settings.router.port, reader_timeout)
-    changes = ChangeLog(application.blackboard, application.clock)
+    reader_timeout_seconds = settings.streams.reader_timeout_seconds
+    server = HttpServer(app, settings.router.host, settings.router.port, reader_timeout_seconds)
+    change_log = ChangeLog(application.blackboard, application.clock)
     await server.start()
     _log.info("server.listening", host=settings.router.host, port=server.port)
-    await changes.start()
+    await change_log.start()
     await application.start()
-    await _first(stopping.wait(), application.shutdown.requested.wait())
+    await _wait_for_first(stop_requested.wait(), application.shutdown.stop_requested.wait())
     _log.info("router.stopping")
     await application.stop()
     await server.stop()
-    await changes.stop()
+    await change_log.stop()
     _log.info("router.stopped")
 
 
 @asynccontextmanager
-async def _connected(settings: Settings, metrics: ScrapedMetrics) -> AsyncIterator[Dependencies]:
+async def _open_dependencies(
+    settings: Settings, metrics: ScrapedMetrics
+) -> AsyncIterator[Dependencies]:
     """Open the connection pools of a router and close them at the end."""
     clock = SystemClock()
     platform = settings.platform
     async with AsyncExitStack() as stack:
-        http = await stack.enter_async_context(_platform_http(platform))
+        platform_client = await stack.enter_async_context(_create_platform_client(platform))
         upstreams = HttpUpstreams()
         stack.push_async_callback(upstreams.aclose)
         peers = HttpPeers(settings.router.fleet_secret, clock)
         stack.push_async_callback(peers.aclose)
-        name = settings.router.vm
-        timeout = platform.kv_timeout_seconds
+        vm = settings.router.vm
+        timeout_seconds = platform.kv_timeout_seconds
         yield Dependencies(
             clock=clock,
-            kv=HttpKv(platform.kv_url, timeout, http, name),
-            vms=HttpVmList(platform.vm_list_url, timeout, http, name),
+            kv=HttpKv(platform.kv_url, timeout_seconds, platform_client, vm),
+            vms=HttpVmList(platform.vm_list_url, timeout_seconds, platform_client, vm),
             upstreams=upstreams,
             peers=peers,
             rng=random.Random(),
@@ -97,16 +99,16 @@
         )
 
 
-def _platform_http(platform: PlatformSettings) -> httpx.AsyncClient:
+def _create_platform_client(platform: PlatformSettings) -> httpx.AsyncClient:
     """Return the pool for the platform's services; plain HTTP needs none of the TLS libraries."""
-    is_plain = all(url.startswith("http:") for url in (platform.kv_url, platform.vm_list_url))
-    transport = StreamingTransport() if is_plain else None
+    is_plain_http = all(url.startswith("http:") for url in (platform.kv_url, platform.vm_list_url))
+    transport = StreamingTransport() if is_plain_http else None
     return httpx.AsyncClient(transport=transport, trust_env=False)
 
 
-async def _first(*waits: object) -> None:
+async def _wait_for_first(*awaitables: object) -> None:
     """Wait for the first of several coroutines and cancel the others."""
-    tasks = [asyncio.ensure_future(wait) for wait in waits]
+    tasks = [asyncio.ensure_future(awaitable) for awaitable in awaitables]
     try:
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     finally:
--- a/packages/quinceferry-daemon/src/quinceferryd/execution.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/execution.py
@@ -124,7 +124,7 @@
         started_at = self._clock.monotonic()
         admitted = await self._scheduler.admit(request, execution.token_cap)
         waited_seconds = self._clock.monotonic() - started_at
-        self._metrics.queue_wait(request.workspace, request.priority, waited_seconds)
+        self._metrics.record_queue_wait(request.workspace, request.priority, waited_seconds)
         return admitted
 
     async def _relay(self, run: RequestRun, execution: Execution) -> AnswerEvent | None:
--- a/packages/quinceferry-daemon/src/quinceferryd/exports.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/exports.py
@@ -5,31 +5,31 @@
 
 from quinceferryd.application import Application
 from quinceferryd.connections import ConnectionEnding
-from quinceferryd.metrics import Reading, ScrapedMetrics
+from quinceferryd.metrics import Sample, ScrapedMetrics
 
 
-def export_state(application: Application, metrics: ScrapedMetrics) -> None:
+def export_router_metrics(application: Application, metrics: ScrapedMetrics) -> None:
     """Export counts and levels of a router; their labels are bounded by enumerations."""
-    board = application.blackboard
+    blackboard = application.blackboard
     metrics.observe_gauge(
         "quinceferry_router_state",
         "Life-cycle state of the router; its current one shows 1",
-        lambda: [(1.0, {"state": board.state.value})],
+        lambda: [(1.0, {"state": blackboard.state.value})],
     )
     metrics.observe_gauge(
         "quinceferry_kv_available",
         "Whether the key-value service answers",
-        lambda: [(float(board.kv.available), {})],
+        lambda: [(float(blackboard.kv.available), {})],
     )
     metrics.observe_gauge(
         "quinceferry_configuration_revision",
         "Revision of the configuration in force here",
-        lambda: [(float(board.configuration.revision), {})],
+        lambda: [(float(blackboard.configuration.revision), {})],
     )
     metrics.observe_gauge(
         "quinceferry_members",
         "Routers that hold a lease",
-        lambda: [(float(len(board.members_by_incarnation)), {})],
+        lambda: [(float(len(blackboard.members_by_incarnation)), {})],
     )
     metrics.observe_gauge(
         "quinceferry_open_requests",
@@ -39,12 +39,12 @@
     metrics.observe_counter(
         "quinceferry_kv_calls",
         "Calls to the key-value service by purpose",
-        lambda: _kv_calls(application),
+        lambda: _sample_kv_calls(application),
     )
     metrics.observe_counter(
         "quinceferry_admissions",
         "Requests by class and how admission ended",
-        lambda: _admissions(application),
+        lambda: _sample_admissions(application),
     )
     metrics.observe_gauge(
         "quinceferry_queued_requests",
@@ -54,12 +54,12 @@
     metrics.observe_counter(
         "quinceferry_connection_endings",
         "Upstream connections that ended otherwise than with the whole answer",
-        lambda: _connection_endings(application),
+        lambda: _sample_connection_endings(application),
     )
     metrics.observe_counter(
         "quinceferry_streams",
         "Resumes, re-runs and cancellations of answers, retries denied and chunks that came twice",
-        lambda: _streams(application),
+        lambda: _sample_streams(application),
     )
     metrics.observe_counter(
         "quinceferry_copies_placed",
@@ -74,7 +74,7 @@
     metrics.observe_counter(
         "quinceferry_journal_commits",
         "Group commits of the journal in use",
-        lambda: _journal_commits(application),
+        lambda: _sample_journal_commits(application),
     )
     metrics.observe_counter(
         "quinceferry_leases_lost",
@@ -89,17 +89,17 @@
     metrics.observe_counter(
         "quinceferry_recovery",
         "Closed and retired incarnations, settled requests, and tokens freed and withheld",
-        lambda: _recovery(application),
+        lambda: _sample_recovery(application),
     )
 
 
-def _kv_calls(application: Application) -> Iterator[Reading]:
+def _sample_kv_calls(application: Application) -> Iterator[Sample]:
     """Return the calls to the key-value service."""
     for kind, count in application.kv.calls_by_kind.items():
         yield float(count), {"purpose": kind.purpose, "verb": kind.verb}
 
 
-def _admissions(application: Application) -> Iterator[Reading]:
+def _sample_admissions(application: Application) -> Iterator[Sample]:
     """Return how admission ended."""
     counters = application.scheduler.counters
     for priority, count in counters.admitted.items():
@@ -108,26 +108,26 @@
         yield float(count), {"class": priority.name.lower(), "result": reason.value}
 
 
-def _connection_endings(application: Application) -> Iterator[Reading]:
+def _sample_connection_endings(application: Application) -> Iterator[Sample]:
     """Return how connections to upstreams ended."""
     for ending in ConnectionEnding:
         yield float(application.streams.counters.endings[ending]), {"ending": ending.value}
 
 
-def _streams(application: Application) -> Iterator[Reading]:
+def _sample_streams(application: Application) -> Iterator[Sample]:
     """Return what was done to bring answers home."""
     counters = application.streams.counters
-    for what in ("resumes", "reruns", "cancels", "retries_denied", "duplicate_chunks"):
-        yield float(getattr(counters, what)), {"what": what}
+    for name in ("resumes", "reruns", "cancels", "retries_denied", "duplicate_chunks"):
+        yield float(getattr(counters, name)), {"what": name}
 
 
-def _journal_commits(application: Application) -> list[Reading]:
+def _sample_journal_commits(application: Application) -> list[Sample]:
     """Return the commits of the current incarnation; zero while there is none."""
     account = application.accounts.current
     return [(float(account.journal.commits) if account else 0.0, {})]
 
 
-def _recovery(application: Application) -> Iterator[Reading]:
+def _sample_recovery(application: Application) -> Iterator[Sample]:
     """Return what recovery has done."""
     counters = application.recovery.counters
     for field in dataclasses.fields(counters):
--- a/packages/quinceferry-daemon/src/quinceferryd/logs.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/logs.py
@@ -16,10 +16,10 @@
 CHECK_INTERVAL_SECONDS = 1.0
 """How often the blackboard is compared with what was last logged."""
 
-_SECRET_WORDS = ("secret", "password", "authorization", "operator_key", "api_key", "ticket")
-_HIDDEN = "[hidden]"
+_SECRET_NAME_PARTS = ("secret", "password", "authorization", "operator_key", "api_key", "ticket")
+_REDACTED = "[hidden]"
 _log = structlog.get_logger()
-_reported_places: set[tuple[object, ...]] = set()
+_logged_locations: set[tuple[object, ...]] = set()
 
 
 def configure(stream: TextIO | None = None) -> None:
@@ -28,15 +28,15 @@
     :param stream: where to write; standard error when None.
     """
     stream = stream or sys.stderr
-    _reported_places.clear()
-    shared = [
+    _logged_locations.clear()
+    shared_processors = [
         structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
-        hide_secrets,
+        redact_secrets,
     ]
     structlog.configure(
         processors=[
-            *shared,
+            *shared_processors,
             structlog.processors.format_exc_info,
             structlog.processors.JSONRenderer(),
         ],
@@ -47,7 +47,7 @@
     handler = logging.StreamHandler(stream)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=shared,
+            foreign_pre_chain=shared_processors,
             processors=[
                 structlog.stdlib.ProcessorFormatter.remove_processors_meta,
                 structlog.processors.format_exc_info,
@@ -58,27 +58,27 @@
     logging.basicConfig(handlers=[handler], level=logging.WARNING, force=True)
 
 
-def log_bug(error: BaseException, step: str) -> None:
+def log_unexpected_error(error: BaseException, step: str) -> None:
     """Log an error that no code expected, with its traceback, once for each place it comes from."""
     frames = traceback.extract_tb(error.__traceback__)
-    place = (type(error).__name__, frames[-1].filename, frames[-1].lineno) if frames else ()
-    if place not in _reported_places:
-        _reported_places.add(place)
+    location = (type(error).__name__, frames[-1].filename, frames[-1].lineno) if frames else ()
+    if location not in _logged_locations:
+        _logged_locations.add(location)
         _log.error("bug", step=step, exc_info=error)
 
 
-def hide_secrets(
+def redact_secrets(
     logger: Any, method: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
     """Hide the value of every field whose name tells of a secret."""
     for name in event:
-        if any(word in name.lower() for word in _SECRET_WORDS):
-            event[name] = _HIDDEN
+        if any(word in name.lower() for word in _SECRET_NAME_PARTS):
+            event[name] = _REDACTED
     return event
 
 
 @dataclass(slots=True, frozen=True)
-class _Seen:
+class _LoggedState:
     """What was last logged."""
 
     state: RouterState
@@ -97,11 +97,11 @@
         super().__init__()
         self._blackboard = blackboard
         self._clock = clock
-        self._seen = self._read()
+        self._logged_state = self._read_state()
 
     async def start(self) -> None:
         """Start comparing."""
-        self.spawn(self._check_forever(), "change log")
+        self.spawn(self._check_periodically(), "change log")
 
     async def stop(self) -> None:
         """Stop comparing, after a last comparison."""
@@ -110,39 +110,39 @@
 
     def check(self) -> None:
         """Log what has changed since the last check."""
-        before, now = self._seen, self._read()
-        self._seen = now
+        before, now = self._logged_state, self._read_state()
+        self._logged_state = now
         if now.state is not before.state:
-            self._line("router.state", state=now.state.value, before=before.state.value)
+            self._log_change("router.state", state=now.state.value, before=before.state.value)
         if now.revision != before.revision:
-            self._line("configuration.applied", revision=now.revision, before=before.revision)
-        self._differences("member", before.members, now.members)
-        self._differences("upstream_leaving", before.leaving, now.leaving)
+            self._log_change("configuration.applied", revision=now.revision, before=before.revision)
+        self._log_set_changes("member", before.members, now.members)
+        self._log_set_changes("upstream_leaving", before.leaving, now.leaving)
 
-    async def _check_forever(self) -> None:
+    async def _check_periodically(self) -> None:
         """Compare at each interval."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_SECONDS)
             self.check()
 
-    def _differences(self, name: str, before: frozenset[str], now: frozenset[str]) -> None:
+    def _log_set_changes(self, name: str, before: frozenset[str], now: frozenset[str]) -> None:
         """Log the members of a set that came and went."""
         for item in sorted(now - before):
-            self._line(f"{name}.added", id=item)
+            self._log_change(f"{name}.added", id=item)
         for item in sorted(before - now):
-            self._line(f"{name}.removed", id=item)
+            self._log_change(f"{name}.removed", id=item)
 
-    def _line(self, event: str, **fields: Any) -> None:
+    def _log_change(self, event: str, **fields: Any) -> None:
         """Write one line."""
         identity = self._blackboard.identity
         _log.info(event, vm=identity.vm, incarnation=identity.incarnation, **fields)
 
-    def _read(self) -> _Seen:
+    def _read_state(self) -> _LoggedState:
         """Read the state that is logged."""
-        board = self._blackboard
-        return _Seen(
-            board.state,
-            board.configuration.revision,
-            frozenset(board.members_by_incarnation),
-            frozenset(key for key, status in board.upstreams_by_id.items() if status.leaving),
+        blackboard = self._blackboard
+        return _LoggedState(
+            blackboard.state,
+            blackboard.configuration.revision,
+            frozenset(blackboard.members_by_incarnation),
+            frozenset(key for key, status in blackboard.upstreams_by_id.items() if status.leaving),
         )
--- a/packages/quinceferry-daemon/src/quinceferryd/main.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/main.py
@@ -8,10 +8,10 @@
 from quinceferryd.settings import Settings
 from quinceferryd.settings_file import SettingsFileError, load
 
-SETTINGS_EXIT_STATUS = 2
+INVALID_SETTINGS_EXIT_STATUS = 2
 """Exit status when the settings hold faults."""
 
-_UNUSED_LIBRARIES = ("pydantic", "rich")
+_BLOCKED_LIBRARIES = ("pydantic", "rich")
 """Libraries that ours load when they find them, though a router has no use for them."""
 
 
@@ -25,7 +25,7 @@
         settings = load(path)
     except SettingsFileError as error:
         click.echo(str(error), err=True)
-        sys.exit(SETTINGS_EXIT_STATUS)
+        sys.exit(INVALID_SETTINGS_EXIT_STATUS)
     if check:
         click.echo(f"{path}: the settings are valid")
         return
@@ -34,7 +34,7 @@
 
 def _run(settings: Settings) -> None:
     """Run a router; what only a running router needs is loaded here."""
-    for name in _UNUSED_LIBRARIES:
+    for name in _BLOCKED_LIBRARIES:
         # None makes an import fail as if the library were not installed.
         sys.modules.setdefault(name, None)
     from quinceferryd import daemon, logs
--- a/packages/quinceferry-daemon/src/quinceferryd/meters.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/meters.py
@@ -8,7 +8,7 @@
 from quinceferryd.metrics import Metrics
 from quinceferryd.refusals import outcome_word
 
-SAMPLED_GAPS = 16
+GAP_SAMPLING_INTERVAL = 16
 """One of so many times between two pieces is recorded."""
 
 _CALLER_LEFT = "caller_left"
@@ -20,72 +20,82 @@
     Where sampling begins depends on the request id, so that every position is sampled alike.
     """
 
-    __slots__ = ("_clock", "_ended", "_last", "_metrics", "_request", "_skip", "_start")
+    __slots__ = (
+        "_chunks_to_skip",
+        "_clock",
+        "_gap_started_at",
+        "_is_recorded",
+        "_metrics",
+        "_request",
+        "_started_at",
+    )
 
     def __init__(self, request: CallerRequest, metrics: Metrics, clock: Clock) -> None:
         self._request = request
         self._metrics = metrics
         self._clock = clock
-        self._start = clock.monotonic()
-        self._last: float | None = None
-        self._skip = -1
-        self._ended = False
-        metrics.request_started(request.workspace)
+        self._started_at = clock.monotonic()
+        self._gap_started_at: float | None = None
+        self._chunks_to_skip = -1
+        self._is_recorded = False
+        metrics.count_authenticated_request(request.workspace)
 
-    def chunk(self) -> None:
+    def record_chunk(self) -> None:
         """Take a piece of the answer."""
-        if self._skip > 0:
-            self._skip -= 1
-        elif self._skip < 0:
-            self._note_first()
-        elif self._last is None:
-            self._last = self._clock.monotonic()
+        if self._chunks_to_skip > 0:
+            self._chunks_to_skip -= 1
+        elif self._chunks_to_skip < 0:
+            self._record_first_chunk()
+        elif self._gap_started_at is None:
+            self._gap_started_at = self._clock.monotonic()
         else:
-            self._note_gap(self._last)
+            self._record_gap(self._gap_started_at)
 
-    def end(self, event: Finished | Failed) -> None:
+    def record_end(self, event: Finished | Failed) -> None:
         """Take the last event."""
         match event:
             case Finished():
-                self._end("run", event.usage)
+                self._record_outcome("run", event.usage)
             case Failed(outcome=outcome):
-                self._metrics.refused(self._request.workspace, event.reason)
+                self._metrics.count_refusal(self._request.workspace, event.reason)
                 usage = outcome.usage if isinstance(outcome, Run) else None
-                self._end(outcome_word(outcome), usage)
+                self._record_outcome(outcome_word(outcome), usage)
 
     def close(self) -> None:
         """Note that no event will follow; the caller has left unless the answer has ended."""
-        self._end(_CALLER_LEFT, None)
+        self._record_outcome(_CALLER_LEFT, None)
 
-    def _note_first(self) -> None:
+    def _record_first_chunk(self) -> None:
         """Record the time to the first piece."""
-        seconds = self._clock.monotonic() - self._start
-        self._metrics.first_token(self._request.workspace, self._request.priority, seconds)
-        self._skip = zlib.crc32(self._request.request_id.encode()) % SAMPLED_GAPS
+        seconds = self._clock.monotonic() - self._started_at
+        self._metrics.record_first_token(self._request.workspace, self._request.priority, seconds)
+        self._chunks_to_skip = zlib.crc32(self._request.request_id.encode()) % GAP_SAMPLING_INTERVAL
 
-    def _note_gap(self, last: float) -> None:
+    def _record_gap(self, gap_started_at: float) -> None:
         """Record the time since the piece before, and skip the next ones."""
-        seconds = self._clock.monotonic() - last
-        self._metrics.between_tokens(self._request.workspace, self._request.priority, seconds)
-        self._last = None
-        self._skip = SAMPLED_GAPS - 2
-
-    def _end(self, outcome: str, usage: Usage | None) -> None:
+        seconds = self._clock.monotonic() - gap_started_at
+        self._metrics.record_time_between_tokens(
+            self._request.workspace, self._request.priority, seconds
+        )
+        self._gap_started_at = None
+        self._chunks_to_skip = GAP_SAMPLING_INTERVAL - 2
+
+    def _record_outcome(self, outcome: str, usage: Usage | None) -> None:
         """Record the end, once."""
-        if self._ended:
+        if self._is_recorded:
             return
-        self._ended = True
+        self._is_recorded = True
         request = self._request
-        self._metrics.request_finished(request.workspace, request.priority, outcome, usage)
+        self._metrics.count_finished_request(request.workspace, request.priority, outcome, usage)
 
 
 class NullMeter:
     """Records nothing; for a forwarded request, which its first router measures."""
 
-    def chunk(self) -> None:
+    def record_chunk(self) -> None:
         """Record nothing."""
 
-    def end(self, event: Finished | Failed) -> None:
+    def record_end(self, event: Finished | Failed) -> None:
         """Record nothing."""
 
     def close(self) -> None:
--- a/packages/quinceferry-daemon/src/quinceferryd/metrics.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/metrics.py
@@ -17,40 +17,44 @@
 from quinceferry_core.outcomes import RefusalReason
 from quinceferryd.workspace_labels import WorkspaceLabels
 
-FIRST_TOKEN_BOUNDS = (0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
+FIRST_TOKEN_BOUNDS_SECONDS = (0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
 """Upper bounds of buckets, in seconds."""
-BETWEEN_TOKENS_BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0)
+BETWEEN_TOKENS_BOUNDS_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0)
 """Upper bounds of buckets, in seconds."""
-QUEUE_WAIT_BOUNDS = (0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+QUEUE_WAIT_BOUNDS_SECONDS = (0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 """Upper bounds of buckets, in seconds."""
 
-_NO_WORKSPACE = "none"
+_UNAUTHENTICATED_WORKSPACE = "none"
 
-Reading = tuple[float, dict[str, str]]
+Sample = tuple[float, dict[str, str]]
 """Value of one series and its labels."""
 
 
 class Metrics(Protocol):
     """Records what happens to requests; times are in seconds."""
 
-    def request_started(self, workspace: WorkspaceId) -> None:
+    def count_authenticated_request(self, workspace: WorkspaceId) -> None:
         """Count a request that passed authentication."""
 
-    def request_finished(
+    def count_finished_request(
         self, workspace: WorkspaceId, priority: Priority, outcome: str, usage: Usage | None
     ) -> None:
         """Count a request that was submitted, by what became of it, and its tokens."""
 
-    def refused(self, workspace: WorkspaceId | None, reason: RefusalReason) -> None:
+    def count_refusal(self, workspace: WorkspaceId | None, reason: RefusalReason) -> None:
         """Count a refusal or failure; the workspace is None when the key was wrong."""
 
-    def first_token(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
+    def record_first_token(
+        self, workspace: WorkspaceId, priority: Priority, seconds: float
+    ) -> None:
         """Record the time from the request to its first token."""
 
-    def between_tokens(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
+    def record_time_between_tokens(
+        self, workspace: WorkspaceId, priority: Priority, seconds: float
+    ) -> None:
         """Record one sampled time between two pieces of an answer."""
 
-    def queue_wait(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
+    def record_queue_wait(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
         """Record the time a request waited for admission."""
 
     def exposition(self) -> bytes:
@@ -60,24 +64,28 @@
 class NullMetrics:
     """Records nothing."""
 
-    def request_started(self, workspace: WorkspaceId) -> None:
+    def count_authenticated_request(self, workspace: WorkspaceId) -> None:
         """Record nothing."""
 
-    def request_finished(
+    def count_finished_request(
         self, workspace: WorkspaceId, priority: Priority, outcome: str, usage: Usage | None
     ) -> None:
         """Record nothing."""
 
-    def refused(self, workspace: WorkspaceId | None, reason: RefusalReason) -> None:
+    def count_refusal(self, workspace: WorkspaceId | None, reason: RefusalReason) -> None:
         """Record nothing."""
 
-    def first_token(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
+    def record_first_token(
+        self, workspace: WorkspaceId, priority: Priority, seconds: float
+    ) -> None:
         """Record nothing."""
 
-    def between_tokens(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
+    def record_time_between_tokens(
+        self, workspace: WorkspaceId, priority: Priority, seconds: float
+    ) -> None:
         """Record nothing."""
 
-    def queue_wait(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
+    def record_queue_wait(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
         """Record nothing."""
 
     def exposition(self) -> bytes:
@@ -114,88 +122,102 @@
         self._tokens = self._meter.create_counter(
             "quinceferry_tokens", description="Tokens of answered requests"
         )
-        self._first_token = _histogram(
-            self._meter, "quinceferry_first_token", "Request to first token", FIRST_TOKEN_BOUNDS
+        self._first_token = _create_histogram(
+            self._meter,
+            "quinceferry_first_token",
+            "Request to first token",
+            FIRST_TOKEN_BOUNDS_SECONDS,
         )
-        self._between_tokens = _histogram(
+        self._between_tokens = _create_histogram(
             self._meter,
             "quinceferry_between_tokens",
             "Time between two pieces of an answer, sampled",
-            BETWEEN_TOKENS_BOUNDS,
+            BETWEEN_TOKENS_BOUNDS_SECONDS,
         )
-        self._queue_wait = _histogram(
-            self._meter, "quinceferry_queue_wait", "Time waited for admission", QUEUE_WAIT_BOUNDS
+        self._queue_wait = _create_histogram(
+            self._meter,
+            "quinceferry_queue_wait",
+            "Time waited for admission",
+            QUEUE_WAIT_BOUNDS_SECONDS,
         )
 
-    def request_started(self, workspace: WorkspaceId) -> None:
+    def count_authenticated_request(self, workspace: WorkspaceId) -> None:
         """Count a request that passed authentication."""
-        self._labels.count(workspace)
+        self._labels.count_request(workspace)
 
-    def request_finished(
+    def count_finished_request(
         self, workspace: WorkspaceId, priority: Priority, outcome: str, usage: Usage | None
     ) -> None:
         """Count a request that was submitted, by what became of it, and its tokens."""
-        labels = self._class_labels(workspace, priority)
+        labels = self._workspace_and_class_labels(workspace, priority)
         self._requests.add(1, {**labels, "outcome": outcome})
         if usage is not None:
             name = labels["workspace"]
             self._tokens.add(usage.prompt_tokens, {"workspace": name, "kind": "prompt"})
             self._tokens.add(usage.output_tokens, {"workspace": name, "kind": "output"})
 
-    def refused(self, workspace: WorkspaceId | None, reason: RefusalReason) -> None:
+    def count_refusal(self, workspace: WorkspaceId | None, reason: RefusalReason) -> None:
         """Count a refusal or failure; the workspace is None when the key was wrong."""
-        name = _NO_WORKSPACE if workspace is None else self._labels.label(workspace)
+        name = _UNAUTHENTICATED_WORKSPACE if workspace is None else self._labels.label(workspace)
         self._refusals.add(1, {"workspace": name, "reason": reason.value})
 
-    def first_token(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
+    def record_first_token(
+        self, workspace: WorkspaceId, priority: Priority, seconds: float
+    ) -> None:
         """Record the time from the request to its first token."""
-        self._first_token.record(seconds, self._class_labels(workspace, priority))
+        self._first_token.record(seconds, self._workspace_and_class_labels(workspace, priority))
 
-    def between_tokens(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
+    def record_time_between_tokens(
+        self, workspace: WorkspaceId, priority: Priority, seconds: float
+    ) -> None:
         """Record one sampled time between two pieces of an answer."""
-        self._between_tokens.record(seconds, self._class_labels(workspace, priority))
+        self._between_tokens.record(seconds, self._workspace_and_class_labels(workspace, priority))
 
-    def queue_wait(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
+    def record_queue_wait(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
         """Record the time a request waited for admission."""
-        self._queue_wait.record(seconds, self._class_labels(workspace, priority))
+        self._queue_wait.record(seconds, self._workspace_and_class_labels(workspace, priority))
 
     def observe_counter(
-        self, name: str, description: str, read: Callable[[], Iterable[Reading]]
+        self, name: str, description: str, read_samples: Callable[[], Iterable[Sample]]
     ) -> None:
         """Export a count kept elsewhere; it is read at each scrape.
 
         :param read: returns the value and labels of each series; the labels must be bounded.
         """
         self._meter.create_observable_counter(
-            name, callbacks=[_callback(read)], description=description
+            name, callbacks=[_create_callback(read_samples)], description=description
         )
 
     def observe_gauge(
-        self, name: str, description: str, read: Callable[[], Iterable[Reading]]
+        self, name: str, description: str, read_samples: Callable[[], Iterable[Sample]]
     ) -> None:
         """Export a level kept elsewhere; it is read at each scrape."""
         self._meter.create_observable_gauge(
-            name, callbacks=[_callback(read)], description=description
+            name, callbacks=[_create_callback(read_samples)], description=description
         )
 
     def exposition(self) -> bytes:
         """Return all series in the text format that scrapers read."""
         return generate_latest(self._registry)
 
-    def _class_labels(self, workspace: WorkspaceId, priority: Priority) -> dict[str, str]:
+    def _workspace_and_class_labels(
+        self, workspace: WorkspaceId, priority: Priority
+    ) -> dict[str, str]:
         """Return the labels of a workspace and class."""
         return {"workspace": self._labels.label(workspace), "class": priority.name.lower()}
 
 
-def _histogram(meter: Meter, name: str, description: str, bounds: Sequence[float]) -> Histogram:
+def _create_histogram(
+    meter: Meter, name: str, description: str, bounds: Sequence[float]
+) -> Histogram:
     """Return a histogram of seconds."""
     return meter.create_histogram(
         name, unit="s", description=description, explicit_bucket_boundaries_advisory=bounds
     )
 
 
-def _callback(
-    read: Callable[[], Iterable[Reading]],
+def _create_callback(
+    read_samples: Callable[[], Iterable[Sample]],
 ) -> Callable[[CallbackOptions], Iterable[Observation]]:
     """Return the form of a reader that the metrics library calls."""
-    return lambda options: [Observation(value, labels) for value, labels in read()]
+    return lambda options: [Observation(value, labels) for value, labels in read_samples()]
--- a/packages/quinceferry-daemon/src/quinceferryd/operators.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operators.py
@@ -13,7 +13,7 @@
 from quinceferry_core.models import IncarnationId, OperationId
 from quinceferryd.blackboard import Blackboard
 from quinceferryd.configuration import ConfigurationController
-from quinceferryd.shutdown import DrainOrder, drain_key
+from quinceferryd.shutdown import DrainOrder, build_drain_key
 
 
 class OperatorService:
@@ -76,7 +76,7 @@
             return Failure(f"router {incarnation} is not a member")
         order = msgspec.json.encode(DrainOrder(operation_id))
         try:
-            await self._kv.put_if(drain_key(incarnation), order, ABSENT_VERSION)
+            await self._kv.put_if(build_drain_key(incarnation), order, ABSENT_VERSION)
         except KvConflictError:
             # An order stands already; its router stops, whoever gave it.
             return Success(member)
--- a/packages/quinceferry-daemon/src/quinceferryd/readiness.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/readiness.py
@@ -8,7 +8,7 @@
 
 MAX_WAIT_SECONDS = 3.0
 """Bound of the wait, so that upstreams that do not answer keep no router from serving."""
-CHECK_SECONDS = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 
 
 class UpstreamReadiness:
@@ -20,20 +20,24 @@
     """
 
     def __init__(
-        self, blackboard: Blackboard, clock: Clock, polled: Callable[[], list[UpstreamSpec]]
+        self,
+        blackboard: Blackboard,
+        clock: Clock,
+        upstreams_to_poll: Callable[[], list[UpstreamSpec]],
     ) -> None:
         self._blackboard = blackboard
         self._clock = clock
-        self._polled = polled
+        self._upstreams_to_poll = upstreams_to_poll
 
-    async def wait(self) -> None:
+    async def wait_for_load_reports(self) -> None:
         """Return when every polled upstream has reported, or the bound has passed."""
-        ends_at = self._clock.monotonic() + MAX_WAIT_SECONDS
-        while not self._has_reports() and self._clock.monotonic() < ends_at:
-            await self._clock.sleep(CHECK_SECONDS)
+        deadline = self._clock.monotonic() + MAX_WAIT_SECONDS
+        while not self._all_have_reported() and self._clock.monotonic() < deadline:
+            await self._clock.sleep(CHECK_INTERVAL_SECONDS)
 
-    def _has_reports(self) -> bool:
+    def _all_have_reported(self) -> bool:
         statuses = self._blackboard.upstreams_by_id
         return all(
-            statuses.get(spec.id, UpstreamStatus()).report is not None for spec in self._polled()
+            statuses.get(spec.id, UpstreamStatus()).report is not None
+            for spec in self._upstreams_to_poll()
         )
--- a/packages/quinceferry-daemon/src/quinceferryd/relays.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/relays.py
@@ -13,7 +13,7 @@
     Unknown,
 )
 from quinceferryd.answers import DONE, AnswerFormat, error_event
-from quinceferryd.logs import log_bug
+from quinceferryd.logs import log_unexpected_error
 from quinceferryd.meters import NullMeter, RequestMeter
 from quinceferryd.refusals import (
     JSON_HEADER,
@@ -60,7 +60,7 @@
     try:
         failed = await _relay_all(events, sink, active_meter)
         if failed is not None:
-            active_meter.end(failed)
+            active_meter.record_end(failed)
             await sink.fail(failed)
     finally:
         active_meter.close()
@@ -75,14 +75,14 @@
         async with aclosing(events):
             async for event in events:
                 if isinstance(event, Chunk):
-                    meter.chunk()
+                    meter.record_chunk()
                     await sink.write_chunk(event)
                 else:
                     ended = True
-                    meter.end(event)
+                    meter.record_end(event)
                     await _write_final_event(event, sink)
     except Exception as error:
-        log_bug(error, "relay")
+        log_unexpected_error(error, "relay")
         return None if ended else _internal_failure(f"internal error: {type(error).__name__}")
     return None if ended else _internal_failure("the answer ended early")
 
--- a/packages/quinceferry-daemon/src/quinceferryd/server.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/server.py
@@ -19,19 +19,19 @@
 from quinceferryd.caller_api import CallerApi, caller_routes
 from quinceferryd.interfaces import RouterApplication
 from quinceferryd.keys import matches_key
-from quinceferryd.logs import log_bug
+from quinceferryd.logs import log_unexpected_error
 from quinceferryd.peer_api import PeerApi, peer_routes
 from quinceferryd.refusals import error_document, error_headers, error_status, refusal
 
 HttpRequest = Request[Any, Any, Any]
 
-KEEP_ALIVE_SECONDS = 30
+KEEP_ALIVE_TIMEOUT_SECONDS = 30
 """How long an idle connection stays open; longer than our own clients keep one."""
-BACKLOG = 1024
+MAX_PENDING_CONNECTIONS = 1024
 """Connections that may wait to be accepted."""
 
-_CLOSE_GRACE_SECONDS = 5
-_TICK_SECONDS = 1.0
+_SHUTDOWN_GRACE_SECONDS = 5
+_TICK_INTERVAL_SECONDS = 1.0
 _REASONS_BY_STATUS = {
     404: RefusalReason.REQUEST_NOT_FOUND,
     413: RefusalReason.OVERSIZED,
@@ -47,16 +47,19 @@
     :param application: the router.
     :param handlers: further route handlers, such as the operators'.
     """
-    bodies = BodyMemory(application.settings.callers.max_total_body_bytes)
+    body_memory = BodyMemory(application.settings.callers.max_total_body_bytes)
     state = {
         "application": application,
-        "caller_api": CallerApi(application, bodies),
+        "caller_api": CallerApi(application, body_memory),
         "peer_api": PeerApi(application),
     }
     return Litestar(
         route_handlers=[caller_routes(), peer_routes(), _health, _ready, _metrics, *handlers],
         state=State(state, deep_copy=False),
-        exception_handlers={HTTPException: _on_http_error, Exception: _on_error},
+        exception_handlers={
+            HTTPException: _respond_to_http_error,
+            Exception: _respond_to_unexpected_error,
+        },
         openapi_config=None,
         logging_config=None,
     )
@@ -79,8 +82,8 @@
             http="httptools",
             ws="none",
             server_header=False,
-            timeout_keep_alive=KEEP_ALIVE_SECONDS,
-            timeout_graceful_shutdown=int(reader_timeout_seconds) + _CLOSE_GRACE_SECONDS,
+            timeout_keep_alive=KEEP_ALIVE_TIMEOUT_SECONDS,
+            timeout_graceful_shutdown=int(reader_timeout_seconds) + _SHUTDOWN_GRACE_SECONDS,
         )
         super().__init__(config)
         self._stopping = asyncio.Event()
@@ -94,7 +97,7 @@
         """Wait for the stop; the library's own loop would wake ten times a second."""
         while not await self.on_tick(0):
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._stopping.wait(), _TICK_SECONDS)
+                await asyncio.wait_for(self._stopping.wait(), _TICK_INTERVAL_SECONDS)
 
     @contextlib.contextmanager
     def capture_signals(self) -> Generator[None, None, None]:
@@ -132,7 +135,7 @@
 
         :raises OSError: the address can't be bound.
         """
-        listener = _listen(self._host, self._port)
+        listener = _create_listener(self._host, self._port)
         self._port = listener.getsockname()[1]
         self._task = asyncio.create_task(self._server.serve([listener]), name="http-server")
 
@@ -143,7 +146,7 @@
             await self._task
 
 
-def _listen(host: str, port: int) -> socket.socket:
+def _create_listener(host: str, port: int) -> socket.socket:
     """Return a listening socket.
 
     The protocol is named, since the event loop sends small writes at once only on sockets that name
@@ -157,7 +160,7 @@
     except OSError:
         listener.close()
         raise
-    listener.listen(BACKLOG)
+    listener.listen(MAX_PENDING_CONNECTIONS)
     listener.setblocking(False)
     return listener
 
@@ -187,27 +190,27 @@
     application = request.app.state.application
     authorization = request.headers.get("authorization", "")
     if not matches_key(authorization, application.settings.router.operator_key):
-        return _error_response(
+        return _create_error_response(
             refusal(RefusalReason.UNAUTHENTICATED, "the operators' key is wrong")
         )
     text = await asyncio.to_thread(application.metrics.exposition)
     return Response(text, media_type=CONTENT_TYPE_LATEST)
 
 
-def _on_http_error(request: HttpRequest, error: HTTPException) -> Response[bytes]:
+def _respond_to_http_error(request: HttpRequest, error: HTTPException) -> Response[bytes]:
     """Answer a request that no handler took."""
     reason = _REASONS_BY_STATUS.get(error.status_code, RefusalReason.MALFORMED)
-    return _error_response(refusal(reason, error.detail), error.status_code)
+    return _create_error_response(refusal(reason, error.detail), error.status_code)
 
 
-def _on_error(request: HttpRequest, error: Exception) -> Response[bytes]:
+def _respond_to_unexpected_error(request: HttpRequest, error: Exception) -> Response[bytes]:
     """Answer a request whose handler broke; nothing is known of what it did."""
-    log_bug(error, "server")
+    log_unexpected_error(error, "server")
     failed = Failed(RefusalReason.INTERNAL, Unknown(), detail="internal error")
-    return _error_response(failed)
+    return _create_error_response(failed)
 
 
-def _error_response(failed: Failed, status: int = 0) -> Response[bytes]:
+def _create_error_response(failed: Failed, status: int = 0) -> Response[bytes]:
     """Return the response of an error.
 
     :param status: HTTP status; that of the failure when zero.
--- a/packages/quinceferry-daemon/src/quinceferryd/settings_file.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/settings_file.py
@@ -10,13 +10,18 @@
 
 from quinceferry_core.exceptions import SettingsError
 from quinceferryd.settings import Settings
-from quinceferryd.settings_rules import relation_faults, value_fault
+from quinceferryd.settings_rules import check_relations, check_value
 
-_TYPE_NAMES = {str: "a string", int: "a whole number", float: "a number", bool: "true or false"}
+_TYPE_NAMES_BY_TYPE = {
+    str: "a string",
+    int: "a whole number",
+    float: "a number",
+    bool: "true or false",
+}
 
 
 @dataclass(slots=True, frozen=True)
-class Fault:
+class SettingsFault:
     """One fault of a settings file; it never holds the value of a secret."""
 
     file: str
@@ -36,7 +41,7 @@
     :param faults: all of them, in the order of the settings reference.
     """
 
-    def __init__(self, faults: list[Fault]) -> None:
+    def __init__(self, faults: list[SettingsFault]) -> None:
         super().__init__("\n".join(str(fault) for fault in faults), step="settings.load")
         self.faults = faults
 
@@ -59,17 +64,20 @@
 
     def __init__(self, path: str) -> None:
         self._path = path
-        self._faults: list[Fault] = []
+        self._faults: list[SettingsFault] = []
 
     def load(self) -> Settings:
         """Return the settings, or raise with all faults."""
         document = self._parse()
-        self._refuse_unknown(document, _fields(Settings), "")
-        values = {name: self._table(document, name, kind) for name, kind in _fields(Settings)}
+        self._check_unknown_keys(document, _fields(Settings), "")
+        values = {
+            name: self._read_table(document, name, table_type)
+            for name, table_type in _fields(Settings)
+        }
         if not self._faults:
             settings = Settings(**values)
-            for key, reason in relation_faults(settings):
-                self._add(key, reason)
+            for key, reason in check_relations(settings):
+                self._add_fault(key, reason)
         if self._faults:
             raise SettingsFileError(self._faults)
         return settings
@@ -82,57 +90,59 @@
             reason = f"can't be read: {error}"
         except tomllib.TOMLDecodeError as error:
             reason = f"is not valid TOML: {error}"
-        raise SettingsFileError([Fault(self._path, "", reason)])
+        raise SettingsFileError([SettingsFault(self._path, "", reason)])
 
-    def _table(self, document: dict[str, Any], name: str, kind: type) -> Any:
+    def _read_table(self, document: dict[str, Any], name: str, table_type: type) -> Any:
         """Read one table; None when it has faults."""
         table = document.get(name, {})
         if not isinstance(table, dict):
-            self._add(name, "must be a table")
+            self._add_fault(name, "must be a table")
             return None
-        self._refuse_unknown(table, _fields(kind), f"{name}.")
-        before = len(self._faults)
-        values = self._values(table, name, kind)
-        return kind(**values) if len(self._faults) == before else None
+        self._check_unknown_keys(table, _fields(table_type), f"{name}.")
+        fault_count = len(self._faults)
+        values = self._read_values(table, name, table_type)
+        return table_type(**values) if len(self._faults) == fault_count else None
 
-    def _values(self, table: dict[str, Any], name: str, kind: type) -> dict[str, Any]:
+    def _read_values(self, table: dict[str, Any], name: str, table_type: type) -> dict[str, Any]:
         """Read the keys of one table that are present."""
         values = {}
-        for field, expected in zip(dataclasses.fields(kind), _fields(kind), strict=True):
+        for field, expected in zip(
+            dataclasses.fields(table_type), _fields(table_type), strict=True
+        ):
             key = f"{name}.{field.name}"
             if field.name in table:
-                values[field.name] = self._value(key, table[field.name], expected[1])
+                values[field.name] = self._check_value(key, table[field.name], expected[1])
             elif field.default is dataclasses.MISSING:
-                self._add(key, "is missing")
+                self._add_fault(key, "is missing")
         return values
 
-    def _value(self, key: str, value: Any, expected: type) -> Any:
+    def _check_value(self, key: str, value: Any, expected_type: type) -> Any:
         """Check one value and return it in its type."""
-        if expected is float and type(value) is int:
+        if expected_type is float and type(value) is int:
             value = float(value)
-        if type(value) is not expected:
-            self._add(key, f"must be {_TYPE_NAMES[expected]}")
+        if type(value) is not expected_type:
+            self._add_fault(key, f"must be {_TYPE_NAMES_BY_TYPE[expected_type]}")
         elif isinstance(value, float) and not math.isfinite(value):
-            self._add(key, "must be finite")
-        elif reason := value_fault(key, value):
-            self._add(key, reason)
+            self._add_fault(key, "must be finite")
+        elif reason := check_value(key, value):
+            self._add_fault(key, reason)
         return value
 
-    def _refuse_unknown(
+    def _check_unknown_keys(
         self, table: dict[str, Any], fields: list[tuple[str, type]], prefix: str
     ) -> None:
         """Add a fault for each key that nothing reads."""
-        known = {name for name, _ in fields}
+        known_names = {name for name, _ in fields}
         for name in table:
-            if name not in known:
-                self._add(f"{prefix}{name}", "is not a known key")
+            if name not in known_names:
+                self._add_fault(f"{prefix}{name}", "is not a known key")
 
-    def _add(self, key: str, reason: str) -> None:
+    def _add_fault(self, key: str, reason: str) -> None:
         """Add a fault."""
-        self._faults.append(Fault(self._path, key, reason))
+        self._faults.append(SettingsFault(self._path, key, reason))
 
 
-def _fields(kind: type) -> list[tuple[str, type]]:
+def _fields(table_type: type) -> list[tuple[str, type]]:
     """Return the names and types of a data class's fields."""
-    types_by_name = typing.get_type_hints(kind)
-    return [(field.name, types_by_name[field.name]) for field in dataclasses.fields(kind)]
+    types_by_name = typing.get_type_hints(table_type)
+    return [(field.name, types_by_name[field.name]) for field in dataclasses.fields(table_type)]
--- a/packages/quinceferry-daemon/src/quinceferryd/settings_rules.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/settings_rules.py
@@ -19,17 +19,17 @@
 """Returns why a value is wrong, or nothing; it must not repeat the value of a string."""
 
 
-def value_fault(key: str, value: object) -> str:
+def check_value(key: str, value: object) -> str:
     """Check one value by its key, or else by the unit in its key.
 
     :param key: ``table.key``.
     :return: what is wrong; empty when nothing is.
     """
-    rule = _RULES_BY_KEY.get(key) or _unit_rule(key)
+    rule = _RULES_BY_KEY.get(key) or _find_unit_rule(key)
     return rule(value) if rule else ""
 
 
-def relation_faults(settings: Settings) -> Iterator[tuple[str, str]]:
+def check_relations(settings: Settings) -> Iterator[tuple[str, str]]:
     """Check values against each other; yields keys and reasons."""
     router, membership = settings.router, settings.membership
     streams, callers = settings.streams, settings.callers
@@ -48,7 +48,7 @@
         yield "callers.default_deadline_seconds", "must not exceed callers.max_deadline_seconds"
 
 
-def _unit_rule(key: str) -> Rule | None:
+def _find_unit_rule(key: str) -> Rule | None:
     """Return the rule of the unit in which a key ends."""
     for suffix, rule in _RULES_BY_SUFFIX.items():
         if key.endswith(suffix):
@@ -56,23 +56,23 @@
     return None
 
 
-def _name(value: str) -> str:
+def _check_name(value: str) -> str:
     """Check a name."""
     return "" if _NAME_PATTERN.fullmatch(value) else f"must match {_NAME_PATTERN.pattern}"
 
 
-def _optional_name(value: str) -> str:
+def _check_optional_name(value: str) -> str:
     """Check a name that may be empty."""
-    return _name(value) if value else ""
+    return _check_name(value) if value else ""
 
 
-def _secret(value: str) -> str:
+def _check_secret(value: str) -> str:
     """Check the length of a secret."""
-    short = len(value) < MIN_SECRET_CHARACTERS
-    return f"must have at least {MIN_SECRET_CHARACTERS} characters" if short else ""
+    is_short = len(value) < MIN_SECRET_CHARACTERS
+    return f"must have at least {MIN_SECRET_CHARACTERS} characters" if is_short else ""
 
 
-def _ip_address(value: str) -> str:
+def _check_ip_address(value: str) -> str:
     """Check an IP address that other VMs can reach."""
     try:
         address = ipaddress.ip_address(value)
@@ -81,17 +81,17 @@
     return "must be an address that other VMs reach" if address.is_unspecified else ""
 
 
-def _url(value: str) -> str:
+def _check_url(value: str) -> str:
     """Check the URL of a service."""
     try:
         parts = urlsplit(value)
-        valid = parts.scheme in ("http", "https") and bool(parts.hostname) and parts.port != 0
+        is_valid = parts.scheme in ("http", "https") and bool(parts.hostname) and parts.port != 0
     except ValueError:
-        valid = False
-    return "" if valid else "must be a URL such as http://10.0.0.1:7000"
+        is_valid = False
+    return "" if is_valid else "must be a URL such as http://10.0.0.1:7000"
 
 
-def _between(low: float, high: float) -> Rule:
+def _range_rule(low: float, high: float) -> Rule:
     """Return a rule for numbers in a closed range."""
 
     def rule(value: float) -> str:
@@ -100,7 +100,7 @@
     return rule
 
 
-def _at_least(low: float) -> Rule:
+def _minimum_rule(low: float) -> Rule:
     """Return a rule for numbers with a lower bound."""
 
     def rule(value: float) -> str:
@@ -109,7 +109,7 @@
     return rule
 
 
-def _share(value: float) -> str:
+def _check_share(value: float) -> str:
     """Check a share of a whole."""
     return "" if 0 < value <= 1 else f"must be above 0 and at most 1, not {value:g}"
 
@@ -122,36 +122,36 @@
 
 
 _RULES_BY_KEY: dict[str, Rule] = {
-    "router.vm": _name,
-    "router.zone": _name,
-    "router.region": _optional_name,
-    "router.host": _ip_address,
-    "router.port": _between(1, _MAX_PORT),
-    "router.fleet_secret": _secret,
-    "router.operator_key": _secret,
-    "platform.kv_url": _url,
-    "platform.vm_list_url": _url,
-    "platform.kv_timeout_seconds": _between(0.05, 60),
-    "routing.load_report_lag_seconds": _between(0, 60),
-    "routing.other_zone_penalty_seconds": _between(0, 60),
-    "membership.lease_ttl_seconds": _between(1, 600),
-    "membership.heartbeat_interval_seconds": _between(0.5, 300),
-    "addresses.answer_ttl_seconds": _between(1, 3600),
-    "streams.retry_share": _between(0, 1),
+    "router.vm": _check_name,
+    "router.zone": _check_name,
+    "router.region": _check_optional_name,
+    "router.host": _check_ip_address,
+    "router.port": _range_rule(1, _MAX_PORT),
+    "router.fleet_secret": _check_secret,
+    "router.operator_key": _check_secret,
+    "platform.kv_url": _check_url,
+    "platform.vm_list_url": _check_url,
+    "platform.kv_timeout_seconds": _range_rule(0.05, 60),
+    "routing.load_report_lag_seconds": _range_rule(0, 60),
+    "routing.other_zone_penalty_seconds": _range_rule(0, 60),
+    "membership.lease_ttl_seconds": _range_rule(1, 600),
+    "membership.heartbeat_interval_seconds": _range_rule(0.5, 300),
+    "addresses.answer_ttl_seconds": _range_rule(1, 3600),
+    "streams.retry_share": _range_rule(0, 1),
 }
 _RULES_BY_SUFFIX: dict[str, Rule] = {
-    "_per_second": _between(0.01, 1e9),
+    "_per_second": _range_rule(0.01, 1e9),
     "_seconds": _seconds,
-    "_days": _between(1, 3650),
-    "_share": _share,
-    "_bytes": _at_least(1024),
-    "_tokens": _at_least(1),
-    "_requests": _at_least(1),
-    "_entries": _at_least(1),
-    "_chunks": _at_least(1),
-    "_attempts": _at_least(1),
-    "_candidates": _at_least(1),
-    "_upstreams": _at_least(1),
-    "_slots": _at_least(1),
-    "_per_workspace": _at_least(1),
+    "_days": _range_rule(1, 3650),
+    "_share": _check_share,
+    "_bytes": _minimum_rule(1024),
+    "_tokens": _minimum_rule(1),
+    "_requests": _minimum_rule(1),
+    "_entries": _minimum_rule(1),
+    "_chunks": _minimum_rule(1),
+    "_attempts": _minimum_rule(1),
+    "_candidates": _minimum_rule(1),
+    "_upstreams": _minimum_rule(1),
+    "_slots": _minimum_rule(1),
+    "_per_workspace": _minimum_rule(1),
 }
--- a/packages/quinceferry-daemon/src/quinceferryd/workspace_labels.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/workspace_labels.py
@@ -10,12 +10,12 @@
 
 OTHER_WORKSPACES = "other"
 """Label shared by all workspaces without a name of their own."""
-MAX_NAMED = 48
+MAX_LABELED_WORKSPACES = 48
 """Workspaces with a name of their own."""
 
-_NAMES_PER_STEP = 8
-_FIRST_THRESHOLD = 2
-_COUNTED_PER_NAME = 8
+_LABELS_PER_THRESHOLD = 8
+_FIRST_THRESHOLD_REQUESTS = 2
+_COUNTED_WORKSPACES_PER_LABEL = 8
 
 
 class WorkspaceLabels:
@@ -24,34 +24,36 @@
     :param max_named: workspaces with a name of their own.
     """
 
-    def __init__(self, max_named: int = MAX_NAMED) -> None:
-        self._max_named = max_named
-        self._named: set[str] = set()
+    def __init__(self, max_labeled: int = MAX_LABELED_WORKSPACES) -> None:
+        self._max_labeled = max_labeled
+        self._labeled_workspaces: set[str] = set()
         self._counts_by_workspace: dict[str, int] = {}
 
     def label(self, workspace: str) -> str:
         """Return the label of a workspace, without counting a request."""
-        return workspace if workspace in self._named else OTHER_WORKSPACES
+        return workspace if workspace in self._labeled_workspaces else OTHER_WORKSPACES
 
-    def count(self, workspace: str) -> str:
+    def count_request(self, workspace: str) -> str:
         """Count one request of a workspace and return its label."""
-        if workspace in self._named:
+        if workspace in self._labeled_workspaces:
             return workspace
-        if len(self._named) >= self._max_named:
+        if len(self._labeled_workspaces) >= self._max_labeled:
             return OTHER_WORKSPACES
         count = self._counts_by_workspace.pop(workspace, 0) + 1
-        if count >= self._threshold():
-            self._named.add(workspace)
+        if count >= self._threshold_requests():
+            self._labeled_workspaces.add(workspace)
             return workspace
         self._counts_by_workspace[workspace] = count
-        self._forget_excess()
+        self._evict_oldest_count()
         return OTHER_WORKSPACES
 
-    def _threshold(self) -> int:
+    def _threshold_requests(self) -> int:
         """Return how many requests earn the next name."""
-        return _FIRST_THRESHOLD * 2 ** (len(self._named) // _NAMES_PER_STEP)
+        return _FIRST_THRESHOLD_REQUESTS * 2 ** (
+            len(self._labeled_workspaces) // _LABELS_PER_THRESHOLD
+        )
 
-    def _forget_excess(self) -> None:
+    def _evict_oldest_count(self) -> None:
         """Forget the workspace that was counted longest ago, when too many are counted."""
-        if len(self._counts_by_workspace) > self._max_named * _COUNTED_PER_NAME:
+        if len(self._counts_by_workspace) > self._max_labeled * _COUNTED_WORKSPACES_PER_LABEL:
             del self._counts_by_workspace[next(iter(self._counts_by_workspace))]
--- a/packages/quinceferry-lab/src/quinceferry_lab/fleets.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/fleets.py
@@ -189,7 +189,7 @@
 
     async def _stop_when_ordered(self, process: RouterProcess) -> None:
         """Stop a process as its daemon does when an operator has ordered it."""
-        await process.application.shutdown.requested.wait()
+        await process.application.shutdown.stop_requested.wait()
         if not process.stopping:
             await self.stop(process)
 
