--- a/packages/quinceferry-daemon/src/quinceferryd/application.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/application.py
@@ -1,4 +1,4 @@
-"""One router: its controllers, their wiring and their life cycle."""
+"""Composition root of a router: builds its controllers, connects, starts and stops them."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -43,12 +43,12 @@
 from quinceferryd.vms import VmListController
 
 TICKET_LIFETIME = timedelta(hours=1)
-"""How long a home runs new requests of a ticket; shorter than it remembers their outcomes."""
+"""Validity of a ticket at its home router; shorter than the retention of request outcomes."""
 
 
 @dataclass(slots=True)
 class Dependencies:
-    """Everything outside the process that a router talks to, behind narrow interfaces."""
+    """External dependencies of a router: clock, random numbers, platform, upstreams and peers."""
 
     clock: Clock
     kv: KvStore
@@ -60,10 +60,10 @@
 
 
 class Application:
-    """A router, apart from its listening socket.
+    """A router without its HTTP server.
 
-    :param settings: checked settings.
-    :param dependencies: connections to the platform, upstreams and peers.
+    :param settings: validated settings.
+    :param dependencies: clients of the platform, upstreams and peers.
     """
 
     def __init__(self, settings: Settings, dependencies: Dependencies) -> None:
@@ -105,15 +105,15 @@
     async def start(self) -> None:
         """Start all controllers; the router serves once it has joined the fleet.
 
-        Its socket must listen already: the fleet takes that as the end of whichever process
-        listened there before.
+        The server socket must already be listening: other routers take this as proof that any
+        earlier process on the same address has terminated.
         """
         self.membership.mark_listening()
         for controller in self._controllers:
             await controller.start()
 
     async def stop(self) -> None:
-        """Stop without cutting a request; idempotent."""
+        """Stop gracefully, finishing the requests in progress; idempotent."""
         if self.is_stopped:
             return
         self.is_stopped = True
@@ -121,12 +121,12 @@
         await self.abort()
 
     async def abort(self) -> None:
-        """Stop all controllers at once, whatever is in progress."""
+        """Stop all controllers immediately, without waiting for requests in progress."""
         for controller in reversed(self._controllers):
             await controller.stop()
 
     def _build_membership(self, dependencies: Dependencies) -> None:
-        """Build what makes this process a member and keeps the configuration."""
+        """Build membership, VM list, configuration, accounts and address answers."""
         settings = self.settings
         common_dependencies = (self.blackboard, self.kv, self.clock, self._rng)
         self.membership = MembershipController(
@@ -154,7 +154,7 @@
         )
 
     def _build_request_path(self, dependencies: Dependencies) -> None:
-        """Build what a caller's request passes through."""
+        """Build the components that process a caller's request."""
         settings = self.settings
         self.scheduler = Scheduler(
             self.blackboard,
@@ -218,7 +218,7 @@
         )
 
     def _build_operations(self, dependencies: Dependencies) -> None:
-        """Build what operators use and what looks after the fleet."""
+        """Build the operator service and the fleet's background maintenance."""
         settings = self.settings
         self.budgets = BudgetService(self.kv)
         self.recovery = RecoveryController(
@@ -263,26 +263,26 @@
         )
 
     async def _flush_bills_and_return_tokens(self) -> None:
-        """Make bills durable, also those held for other routers, and return all tokens.
+        """Write all bills durably, including copies held for other routers, and return all tokens.
 
-        Requests that are still open have reached the bound of the stop; they are ended and billed
-        for what they used before any token is returned.
+        Requests that are still open have exceeded the deadline of the stop; they are ended and
+        billed for the tokens that they used before any token is returned.
         """
         await self.pipeline.stop()
         self.accounts.append_bills(self.copies.settlements())
         await self.accounts.flush_and_retire()
 
     async def _close_fenced_account(self, incarnation: IncarnationId) -> None:
-        """Wind up the account of an incarnation that another router has closed."""
+        """Close the account of an incarnation that another router has closed."""
         await self.accounts.close(incarnation)
 
     def _switch_copies(self, account: Account) -> None:
-        """Let a new incarnation place copies, and answer for those it holds."""
+        """Send copies of a new incarnation's journal, and accept copies sent to it."""
         self.copies.add_own_incarnation(account.incarnation)
         self.copy_sender.switch_journal(account.journal)
 
     def _issue_ticket(self, workspace: WorkspaceId, home: Member) -> str:
-        """Return a ticket that names a member as the home of non-idempotent requests."""
+        """Return a ticket that names a member as home router for non-idempotent requests."""
         expires_at = self.clock.now() + TICKET_LIFETIME
         ticket = Ticket(
             workspace,
--- a/packages/quinceferry-daemon/src/quinceferryd/controllers.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/controllers.py
@@ -1,4 +1,4 @@
-"""Life-cycle hooks of the parts of an application."""
+"""Life cycle of the components of a router and of their background tasks."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -10,7 +10,7 @@
 
 
 class Controller(Protocol):
-    """A part of the application with its own background work."""
+    """A component of the application with background tasks of its own."""
 
     async def start(self) -> None:
         """Acquire resources and start background tasks."""
@@ -20,15 +20,15 @@
 
 
 class TaskGroupController:
-    """Base of controllers that own background tasks."""
+    """Base class of controllers that own background tasks."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
-        """Run a coroutine until it ends or the controller stops.
+        """Run a coroutine as a task until it ends or the controller stops.
 
-        :param work: the coroutine to run.
+        :param coroutine: the coroutine to run.
         :param name: task name shown in diagnostics.
         :return: the task, which the controller owns.
         """
@@ -38,17 +38,17 @@
         return task
 
     async def start(self) -> None:
-        """Start nothing; subclasses spawn their loops here."""
+        """Start the background tasks; the base class has none."""
 
     async def stop(self) -> None:
-        """Cancel all background tasks and wait for their end."""
+        """Cancel all background tasks and wait until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _on_task_done(self, task: asyncio.Task[Any]) -> None:
-        """Forget a task that has ended, and report one that failed for a reason nobody expected."""
+        """Remove a finished task, and log the exception of one that failed."""
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
--- a/packages/quinceferry-daemon/src/quinceferryd/daemon.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/daemon.py
@@ -1,4 +1,4 @@
-"""Runs one router as a process: its connections, its socket and its signals."""
+"""Runs a router as a process: opens its clients, serves HTTP and handles stop signals."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 
 
 async def run(settings: Settings) -> None:
-    """Run a router until a signal or an operator stops it; no request in progress is cut."""
+    """Run a router until a signal or an operator stops it gracefully."""
     stop_requested = stop_on_signals()
     metrics = ScrapedMetrics(WorkspaceLabels())
     async with _open_dependencies(settings, metrics) as dependencies:
@@ -40,7 +40,7 @@
 
 
 def stop_on_signals() -> asyncio.Event:
-    """Return an event that the first stop signal sets; further ones change nothing."""
+    """Install handlers for the stop signals and return the event that they set."""
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in _STOP_SIGNALS:
@@ -49,12 +49,14 @@
 
 
 async def serve_until(application: Application, stop_requested: asyncio.Event) -> None:
-    """Serve an application until it is told to stop.
+    """Serve an application until a stop is requested.
 
-    The socket listens before the router joins, so that callers are told why they must wait, and
-    until the application has finished its requests, which may take minutes.
+    The socket listens before the router joins the fleet, so that callers get a refusal with the
+    reason instead of a refused connection. It stays open until the application has finished its
+    requests, which may take minutes.
 
-    :param stopping: set when the router is to stop.
+    :param application: the router.
+    :param stop_requested: set when the router must stop.
     """
     settings = application.settings
     app = build_app(application, build_operator_routes(application))
@@ -77,7 +79,7 @@
 async def _open_dependencies(
     settings: Settings, metrics: ScrapedMetrics
 ) -> AsyncIterator[Dependencies]:
-    """Open the connection pools of a router and close them at the end."""
+    """Open the clients of a router and close them on exit."""
     clock = SystemClock()
     platform = settings.platform
     async with AsyncExitStack() as stack:
@@ -100,14 +102,14 @@
 
 
 def _create_platform_client(platform: PlatformSettings) -> httpx.AsyncClient:
-    """Return the pool for the platform's services; plain HTTP needs none of the TLS libraries."""
+    """Return the HTTP client for the platform; the TLS libraries are loaded only for HTTPS."""
     is_plain_http = all(url.startswith("http:") for url in (platform.kv_url, platform.vm_list_url))
     transport = StreamingTransport() if is_plain_http else None
     return httpx.AsyncClient(transport=transport, trust_env=False)
 
 
 async def _wait_for_first(*awaitables: object) -> None:
-    """Wait for the first of several coroutines and cancel the others."""
+    """Wait until the first of several awaitables completes and cancel the others."""
     tasks = [asyncio.ensure_future(awaitable) for awaitable in awaitables]
     try:
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/packages/quinceferry-daemon/src/quinceferryd/exports.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/exports.py
@@ -1,4 +1,4 @@
-"""Exports what the parts of a router count for themselves; read at each scrape."""
+"""Exports counters and gauges that the components of a router keep; read at each scrape."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 
 def export_router_metrics(application: Application, metrics: ScrapedMetrics) -> None:
-    """Export counts and levels of a router; their labels are bounded by enumerations."""
+    """Register the counters and gauges of a router; enumerations bound their label values."""
     blackboard = application.blackboard
     metrics.observe_gauge(
         "quinceferry_router_state",
@@ -94,13 +94,13 @@
 
 
 def _sample_kv_calls(application: Application) -> Iterator[Sample]:
-    """Return the calls to the key-value service."""
+    """Yield the number of calls to the key-value service for each purpose and verb."""
     for kind, count in application.kv.calls_by_kind.items():
         yield float(count), {"purpose": kind.purpose, "verb": kind.verb}
 
 
 def _sample_admissions(application: Application) -> Iterator[Sample]:
-    """Return how admission ended."""
+    """Yield the number of admitted requests by class, and of refused ones by class and reason."""
     counters = application.scheduler.counters
     for priority, count in counters.admitted.items():
         yield float(count), {"class": priority.name.lower(), "result": "admitted"}
@@ -109,26 +109,26 @@
 
 
 def _sample_connection_endings(application: Application) -> Iterator[Sample]:
-    """Return how connections to upstreams ended."""
+    """Yield the number of interrupted upstream connections for each kind of ending."""
     for ending in ConnectionEnding:
         yield float(application.streams.counters.endings[ending]), {"ending": ending.value}
 
 
 def _sample_streams(application: Application) -> Iterator[Sample]:
-    """Return what was done to bring answers home."""
+    """Yield the number of resumes, re-runs, cancellations, denied retries and duplicate chunks."""
     counters = application.streams.counters
     for name in ("resumes", "reruns", "cancels", "retries_denied", "duplicate_chunks"):
         yield float(getattr(counters, name)), {"what": name}
 
 
 def _sample_journal_commits(application: Application) -> list[Sample]:
-    """Return the commits of the current incarnation; zero while there is none."""
+    """Return the journal commits of the current incarnation; zero while there is none."""
     account = application.accounts.current
     return [(float(account.journal.commits) if account else 0.0, {})]
 
 
 def _sample_recovery(application: Application) -> Iterator[Sample]:
-    """Return what recovery has done."""
+    """Yield the counters of the recovery."""
     counters = application.recovery.counters
     for field in dataclasses.fields(counters):
         yield float(getattr(counters, field.name)), {"what": field.name}
--- a/packages/quinceferry-daemon/src/quinceferryd/interfaces.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/interfaces.py
@@ -1,4 +1,4 @@
-"""What the HTTP interfaces need of the application."""
+"""Interfaces of the application that the HTTP handlers depend on."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AddressAnswer:
-    """Addresses a caller should use, for how long, and the ticket to send back."""
+    """Router addresses for a caller, their time to live and a ticket for later requests."""
 
     addresses: tuple[str, ...]
     ttl_seconds: float
@@ -25,48 +25,52 @@
 
 
 class Pipeline(Protocol):
-    """Runs requests."""
+    """Runs callers' requests and looks up their outcomes."""
 
     def submit(self, request: CallerRequest) -> AnswerStream:
-        """Return the answer's events; closing the iterator cancels the request."""
+        """Run a request and return the events of its answer; closing the iterator cancels it."""
 
     async def outcome(self, workspace: WorkspaceId, request_id: RequestId) -> Outcome | None:
-        """Return what became of a request; None when it was never seen."""
+        """Return the outcome of a request; None when the request is not known."""
 
 
 class Allotments(Protocol):
-    """Tokens this router holds."""
+    """Allotments of prepaid tokens that this router holds."""
 
     async def recall(self, workspace: WorkspaceId, wanted: int) -> RecallReply:
-        """Return unused tokens to the budget record."""
+        """Return unused tokens to the budget record.
+
+        :param workspace: the workspace whose tokens are returned.
+        :param wanted: how many tokens the requesting router needs.
+        """
 
 
 class Copies(Protocol):
-    """Copies of other routers' journal entries."""
+    """Copies of journal entries that this router holds for other routers."""
 
     def hold(self, request: HoldRequest) -> HoldReply:
-        """Hold copies."""
+        """Store copies of another router's journal entries."""
 
     def collect(self, request: CollectRequest) -> CollectReply:
-        """Return all copies of a closed incarnation, and take no more of them."""
+        """Return all copies of a closed incarnation, and reject further ones."""
 
 
 class Addresses(Protocol):
-    """Answers which routers a workspace should use."""
+    """Assigns routers to workspaces."""
 
     def answer(self, workspace: WorkspaceId, caller_zone: str = "") -> AddressAnswer:
-        """Return the current answer."""
+        """Return the routers that a workspace should use at present."""
 
 
 class Tickets(Protocol):
-    """Reads tickets that routers of this fleet issued."""
+    """Verifies tickets that routers of this fleet issued."""
 
     def verify(self, text: str) -> Result[Ticket, str]:
-        """Return the ticket, or why it is not valid."""
+        """Return the ticket, or the reason why it is invalid."""
 
 
 class RouterApplication(Protocol):
-    """One router, seen from its HTTP interfaces."""
+    """The parts of a router that its HTTP handlers use."""
 
     settings: Settings
     clock: Clock
@@ -82,4 +86,4 @@
         """Start all controllers."""
 
     async def stop(self) -> None:
-        """Stop gracefully; returns when no request is in progress."""
+        """Stop gracefully; return when no request is in progress."""
--- a/packages/quinceferry-daemon/src/quinceferryd/logs.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/logs.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON, for changes of state only; what happens often is counted in metrics."""
+"""Structured JSON logs of state changes and errors; frequent events are metrics instead."""
 
 import logging
 import sys
@@ -14,7 +14,7 @@
 from quinceferryd.controllers import TaskGroupController
 
 CHECK_INTERVAL_SECONDS = 1.0
-"""How often the blackboard is compared with what was last logged."""
+"""Interval between comparisons of the blackboard with the state that was last logged."""
 
 _SECRET_NAME_PARTS = ("secret", "password", "authorization", "operator_key", "api_key", "ticket")
 _REDACTED = "[hidden]"
@@ -23,9 +23,9 @@
 
 
 def configure(stream: TextIO | None = None) -> None:
-    """Write log lines as JSON objects; library warnings come in the same form.
+    """Write log lines, including warnings of libraries, as JSON objects.
 
-    :param stream: where to write; standard error when None.
+    :param stream: output stream; standard error when None.
     """
     stream = stream or sys.stderr
     _logged_locations.clear()
@@ -59,7 +59,11 @@
 
 
 def log_unexpected_error(error: BaseException, step: str) -> None:
-    """Log an error that no code expected, with its traceback, once for each place it comes from."""
+    """Log an unexpected error with its traceback, once per type of error and source line.
+
+    :param error: the error.
+    :param step: the operation that failed.
+    """
     frames = traceback.extract_tb(error.__traceback__)
     location = (type(error).__name__, frames[-1].filename, frames[-1].lineno) if frames else ()
     if location not in _logged_locations:
@@ -70,7 +74,7 @@
 def redact_secrets(
     logger: Any, method: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
-    """Hide the value of every field whose name tells of a secret."""
+    """Redact the value of every field whose name contains a word for a secret."""
     for name in event:
         if any(word in name.lower() for word in _SECRET_NAME_PARTS):
             event[name] = _REDACTED
@@ -79,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _LoggedState:
-    """What was last logged."""
+    """State of the router that was last logged."""
 
     state: RouterState
     revision: int
@@ -88,9 +92,10 @@
 
 
 class ChangeLog(TaskGroupController):
-    """Logs one line for each change of what the blackboard says of the router.
+    """Logs one line for each change of the router's state, configuration, members and upstreams.
 
-    :param blackboard: shared state; only read.
+    :param blackboard: shared state; read-only here.
+    :param clock: source of time.
     """
 
     def __init__(self, blackboard: Blackboard, clock: Clock) -> None:
@@ -100,16 +105,16 @@
         self._logged_state = self._read_state()
 
     async def start(self) -> None:
-        """Start comparing."""
+        """Start the periodic check."""
         self.spawn(self._check_periodically(), "change log")
 
     async def stop(self) -> None:
-        """Stop comparing, after a last comparison."""
+        """Stop the periodic check and check a last time."""
         await super().stop()
         self.check()
 
     def check(self) -> None:
-        """Log what has changed since the last check."""
+        """Log the changes since the last check."""
         before, now = self._logged_state, self._read_state()
         self._logged_state = now
         if now.state is not before.state:
@@ -120,25 +125,25 @@
         self._log_set_changes("upstream_leaving", before.leaving, now.leaving)
 
     async def _check_periodically(self) -> None:
-        """Compare at each interval."""
+        """Check for changes at each interval."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_SECONDS)
             self.check()
 
     def _log_set_changes(self, name: str, before: frozenset[str], now: frozenset[str]) -> None:
-        """Log the members of a set that came and went."""
+        """Log the items that were added to a set or removed from it."""
         for item in sorted(now - before):
             self._log_change(f"{name}.added", id=item)
         for item in sorted(before - now):
             self._log_change(f"{name}.removed", id=item)
 
     def _log_change(self, event: str, **fields: Any) -> None:
-        """Write one line."""
+        """Log a change with the identity of this router."""
         identity = self._blackboard.identity
         _log.info(event, vm=identity.vm, incarnation=identity.incarnation, **fields)
 
     def _read_state(self) -> _LoggedState:
-        """Read the state that is logged."""
+        """Return the part of the blackboard whose changes are logged."""
         blackboard = self._blackboard
         return _LoggedState(
             blackboard.state,
--- a/packages/quinceferry-daemon/src/quinceferryd/main.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/main.py
@@ -9,10 +9,10 @@
 from quinceferryd.settings_file import SettingsFileError, load
 
 INVALID_SETTINGS_EXIT_STATUS = 2
-"""Exit status when the settings hold faults."""
+"""Exit status for an invalid settings file."""
 
 _BLOCKED_LIBRARIES = ("pydantic", "rich")
-"""Libraries that ours load when they find them, though a router has no use for them."""
+"""Optional imports of the daemon's dependencies that a router does not use."""
 
 
 @click.command()
@@ -33,9 +33,9 @@
 
 
 def _run(settings: Settings) -> None:
-    """Run a router; what only a running router needs is loaded here."""
+    """Run a router; modules that ``--check`` does not need are imported here."""
     for name in _BLOCKED_LIBRARIES:
-        # None makes an import fail as if the library were not installed.
+        # An entry of None makes the import fail as if the library were not installed.
         sys.modules.setdefault(name, None)
     from quinceferryd import daemon, logs
 
--- a/packages/quinceferry-daemon/src/quinceferryd/meters.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/meters.py
@@ -1,4 +1,4 @@
-"""Measures one request while its answer is relayed."""
+"""Records the latencies and the outcome of a request while its answer is relayed."""
 
 import zlib
 
@@ -9,15 +9,20 @@
 from quinceferryd.refusals import outcome_word
 
 GAP_SAMPLING_INTERVAL = 16
-"""One of so many times between two pieces is recorded."""
+"""One of this many gaps between two chunks is recorded."""
 
 _CALLER_LEFT = "caller_left"
 
 
 class RequestMeter:
-    """Records the times and the end of one request.
+    """Records the time to the first chunk, sampled gaps between chunks and the outcome.
 
-    Where sampling begins depends on the request id, so that every position is sampled alike.
+    The first sampled gap depends on the request id, so that all positions in an answer are
+    sampled equally often.
+
+    :param request: the request to measure.
+    :param metrics: receives the measurements.
+    :param clock: source of time.
     """
 
     __slots__ = (
@@ -36,12 +41,13 @@
         self._clock = clock
         self._started_at = clock.monotonic()
         self._gap_started_at: float | None = None
+        # Negative until the first chunk has arrived.
         self._chunks_to_skip = -1
         self._is_recorded = False
         metrics.count_authenticated_request(request.workspace)
 
     def record_chunk(self) -> None:
-        """Take a piece of the answer."""
+        """Record the arrival of a chunk of the answer."""
         if self._chunks_to_skip > 0:
             self._chunks_to_skip -= 1
         elif self._chunks_to_skip < 0:
@@ -52,7 +58,7 @@
             self._record_gap(self._gap_started_at)
 
     def record_end(self, event: Finished | Failed) -> None:
-        """Take the last event."""
+        """Record the outcome from the last event of the answer."""
         match event:
             case Finished():
                 self._record_outcome("run", event.usage)
@@ -62,17 +68,17 @@
                 self._record_outcome(outcome_word(outcome), usage)
 
     def close(self) -> None:
-        """Note that no event will follow; the caller has left unless the answer has ended."""
+        """Record that the caller disconnected, unless the answer has ended before."""
         self._record_outcome(_CALLER_LEFT, None)
 
     def _record_first_chunk(self) -> None:
-        """Record the time to the first piece."""
+        """Record the time to the first chunk, and choose the first gap to sample."""
         seconds = self._clock.monotonic() - self._started_at
         self._metrics.record_first_token(self._request.workspace, self._request.priority, seconds)
         self._chunks_to_skip = zlib.crc32(self._request.request_id.encode()) % GAP_SAMPLING_INTERVAL
 
     def _record_gap(self, gap_started_at: float) -> None:
-        """Record the time since the piece before, and skip the next ones."""
+        """Record the time since the previous chunk, and skip chunks until the next sample."""
         seconds = self._clock.monotonic() - gap_started_at
         self._metrics.record_time_between_tokens(
             self._request.workspace, self._request.priority, seconds
@@ -81,7 +87,7 @@
         self._chunks_to_skip = GAP_SAMPLING_INTERVAL - 2
 
     def _record_outcome(self, outcome: str, usage: Usage | None) -> None:
-        """Record the end, once."""
+        """Count the finished request and its tokens; later calls have no effect."""
         if self._is_recorded:
             return
         self._is_recorded = True
@@ -90,7 +96,7 @@
 
 
 class NullMeter:
-    """Records nothing; for a forwarded request, which its first router measures."""
+    """Records nothing; used for forwarded requests, which the forwarding router measures."""
 
     def record_chunk(self) -> None:
         """Record nothing."""
--- a/packages/quinceferry-daemon/src/quinceferryd/metrics.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/metrics.py
@@ -1,7 +1,8 @@
-"""Counters and histograms of one router, served for scraping.
+"""Counters, gauges and histograms of a router in the Prometheus format.
 
-Series are bounded: workspaces by :mod:`quinceferryd.workspace_labels`, all else by enumerations.
-Times between tokens are sampled by the caller of this module, never recorded for each token.
+The number of series is bounded: :mod:`quinceferryd.workspace_labels` limits the workspaces, and
+enumerations limit all other labels. The caller of this module samples the times between tokens;
+they are not recorded for every token.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -18,20 +19,20 @@
 from quinceferryd.workspace_labels import WorkspaceLabels
 
 FIRST_TOKEN_BOUNDS_SECONDS = (0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
-"""Upper bounds of buckets, in seconds."""
+"""Upper bounds of the histogram's buckets."""
 BETWEEN_TOKENS_BOUNDS_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0)
-"""Upper bounds of buckets, in seconds."""
+"""Upper bounds of the histogram's buckets."""
 QUEUE_WAIT_BOUNDS_SECONDS = (0.005, 0.025, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
-"""Upper bounds of buckets, in seconds."""
+"""Upper bounds of the histogram's buckets."""
 
 _UNAUTHENTICATED_WORKSPACE = "none"
 
 Sample = tuple[float, dict[str, str]]
-"""Value of one series and its labels."""
+"""Value and labels of one series."""
 
 
 class Metrics(Protocol):
-    """Records what happens to requests; times are in seconds."""
+    """Records counts and latencies of requests."""
 
     def count_authenticated_request(self, workspace: WorkspaceId) -> None:
         """Count a request that passed authentication."""
@@ -39,26 +40,34 @@
     def count_finished_request(
         self, workspace: WorkspaceId, priority: Priority, outcome: str, usage: Usage | None
     ) -> None:
-        """Count a request that was submitted, by what became of it, and its tokens."""
+        """Count a submitted request by its outcome, and its tokens.
+
+        :param outcome: label value of the outcome.
+        :param usage: tokens of the request; None when they are not known.
+        """
 
     def count_refusal(self, workspace: WorkspaceId | None, reason: RefusalReason) -> None:
-        """Count a refusal or failure; the workspace is None when the key was wrong."""
+        """Count a refusal or failure.
+
+        :param workspace: the workspace; None when the request was not authenticated.
+        :param reason: the reason.
+        """
 
     def record_first_token(
         self, workspace: WorkspaceId, priority: Priority, seconds: float
     ) -> None:
-        """Record the time from the request to its first token."""
+        """Record the time from the start of a request to its first token."""
 
     def record_time_between_tokens(
         self, workspace: WorkspaceId, priority: Priority, seconds: float
     ) -> None:
-        """Record one sampled time between two pieces of an answer."""
+        """Record a sampled time between two chunks of an answer."""
 
     def record_queue_wait(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
         """Record the time a request waited for admission."""
 
     def exposition(self) -> bytes:
-        """Return all series in the text format that scrapers read."""
+        """Return all series in the Prometheus text format."""
 
 
 class NullMetrics:
@@ -89,14 +98,14 @@
         """Record nothing."""
 
     def exposition(self) -> bytes:
-        """Return nothing."""
+        """Return an empty exposition."""
         return b""
 
 
 class ScrapedMetrics:
-    """Metrics of OpenTelemetry, kept in memory until they are scraped.
+    """Metrics in OpenTelemetry instruments that Prometheus scrapes.
 
-    :param labels: decides which workspaces are named.
+    :param labels: chooses the workspaces that have series of their own.
     """
 
     def __init__(self, labels: WorkspaceLabels) -> None:
@@ -148,7 +157,11 @@
     def count_finished_request(
         self, workspace: WorkspaceId, priority: Priority, outcome: str, usage: Usage | None
     ) -> None:
-        """Count a request that was submitted, by what became of it, and its tokens."""
+        """Count a submitted request by its outcome, and its tokens.
+
+        :param outcome: label value of the outcome.
+        :param usage: tokens of the request; None when they are not known.
+        """
         labels = self._workspace_and_class_labels(workspace, priority)
         self._requests.add(1, {**labels, "outcome": outcome})
         if usage is not None:
@@ -157,20 +170,24 @@
             self._tokens.add(usage.output_tokens, {"workspace": name, "kind": "output"})
 
     def count_refusal(self, workspace: WorkspaceId | None, reason: RefusalReason) -> None:
-        """Count a refusal or failure; the workspace is None when the key was wrong."""
+        """Count a refusal or failure.
+
+        :param workspace: the workspace; None when the request was not authenticated.
+        :param reason: the reason.
+        """
         name = _UNAUTHENTICATED_WORKSPACE if workspace is None else self._labels.label(workspace)
         self._refusals.add(1, {"workspace": name, "reason": reason.value})
 
     def record_first_token(
         self, workspace: WorkspaceId, priority: Priority, seconds: float
     ) -> None:
-        """Record the time from the request to its first token."""
+        """Record the time from the start of a request to its first token."""
         self._first_token.record(seconds, self._workspace_and_class_labels(workspace, priority))
 
     def record_time_between_tokens(
         self, workspace: WorkspaceId, priority: Priority, seconds: float
     ) -> None:
-        """Record one sampled time between two pieces of an answer."""
+        """Record a sampled time between two chunks of an answer."""
         self._between_tokens.record(seconds, self._workspace_and_class_labels(workspace, priority))
 
     def record_queue_wait(self, workspace: WorkspaceId, priority: Priority, seconds: float) -> None:
@@ -180,9 +197,10 @@
     def observe_counter(
         self, name: str, description: str, read_samples: Callable[[], Iterable[Sample]]
     ) -> None:
-        """Export a count kept elsewhere; it is read at each scrape.
+        """Export a counter whose values are read at each scrape.
 
-        :param read: returns the value and labels of each series; the labels must be bounded.
+        :param read_samples: returns the value and labels of each series; the number of label
+            values must be bounded.
         """
         self._meter.create_observable_counter(
             name, callbacks=[_create_callback(read_samples)], description=description
@@ -191,26 +209,26 @@
     def observe_gauge(
         self, name: str, description: str, read_samples: Callable[[], Iterable[Sample]]
     ) -> None:
-        """Export a level kept elsewhere; it is read at each scrape."""
+        """Export a gauge whose values are read at each scrape; see :meth:`observe_counter`."""
         self._meter.create_observable_gauge(
             name, callbacks=[_create_callback(read_samples)], description=description
         )
 
     def exposition(self) -> bytes:
-        """Return all series in the text format that scrapers read."""
+        """Return all series in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def _workspace_and_class_labels(
         self, workspace: WorkspaceId, priority: Priority
     ) -> dict[str, str]:
-        """Return the labels of a workspace and class."""
+        """Return the labels for a workspace and a priority class."""
         return {"workspace": self._labels.label(workspace), "class": priority.name.lower()}
 
 
 def _create_histogram(
     meter: Meter, name: str, description: str, bounds: Sequence[float]
 ) -> Histogram:
-    """Return a histogram of seconds."""
+    """Create a histogram in seconds with the given upper bounds of buckets."""
     return meter.create_histogram(
         name, unit="s", description=description, explicit_bucket_boundaries_advisory=bounds
     )
@@ -219,5 +237,5 @@
 def _create_callback(
     read_samples: Callable[[], Iterable[Sample]],
 ) -> Callable[[CallbackOptions], Iterable[Observation]]:
-    """Return the form of a reader that the metrics library calls."""
+    """Return an OpenTelemetry callback that observes the samples of a reader."""
     return lambda options: [Observation(value, labels) for value, labels in read_samples()]
--- a/packages/quinceferry-daemon/src/quinceferryd/readiness.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/readiness.py
@@ -1,4 +1,4 @@
-"""Holds a joining router back until it knows which upstreams it can use."""
+"""Delays a joining router until its upstreams have reported their load."""
 
 from collections.abc import Callable
 
@@ -7,16 +7,18 @@
 from quinceferryd.blackboard import Blackboard, UpstreamStatus
 
 MAX_WAIT_SECONDS = 3.0
-"""Bound of the wait, so that upstreams that do not answer keep no router from serving."""
+"""Limit of the wait, so that unreachable upstreams cannot keep a router from serving."""
 CHECK_INTERVAL_SECONDS = 0.1
 
 
 class UpstreamReadiness:
-    """Join hook: without load reports, a router would refuse what the fleet can serve.
+    """Join hook that waits for load reports.
+
+    Without load reports, a router would refuse requests that the fleet can serve.
 
     :param blackboard: shared state.
     :param clock: source of time.
-    :param polled: returns the upstreams whose load reports this router reads.
+    :param upstreams_to_poll: returns the upstreams whose load this router polls.
     """
 
     def __init__(
@@ -30,12 +32,13 @@
         self._upstreams_to_poll = upstreams_to_poll
 
     async def wait_for_load_reports(self) -> None:
-        """Return when every polled upstream has reported, or the bound has passed."""
+        """Wait until every polled upstream has reported or ``MAX_WAIT_SECONDS`` have passed."""
         deadline = self._clock.monotonic() + MAX_WAIT_SECONDS
         while not self._all_have_reported() and self._clock.monotonic() < deadline:
             await self._clock.sleep(CHECK_INTERVAL_SECONDS)
 
     def _all_have_reported(self) -> bool:
+        """Return whether every polled upstream has reported its load."""
         statuses = self._blackboard.upstreams_by_id
         return all(
             statuses.get(spec.id, UpstreamStatus()).report is not None
--- a/packages/quinceferry-daemon/src/quinceferryd/server.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/server.py
@@ -1,4 +1,4 @@
-"""HTTP server of the daemon, embedded so that the application decides when it ends."""
+"""HTTP server of the daemon, embedded so that the daemon controls when it stops."""
 
 import asyncio
 import contextlib
@@ -26,9 +26,9 @@
 HttpRequest = Request[Any, Any, Any]
 
 KEEP_ALIVE_TIMEOUT_SECONDS = 30
-"""How long an idle connection stays open; longer than our own clients keep one."""
+"""Idle time after which a connection is closed; longer than that of the project's clients."""
 MAX_PENDING_CONNECTIONS = 1024
-"""Connections that may wait to be accepted."""
+"""Size of the listen backlog: connections that may wait to be accepted."""
 
 _SHUTDOWN_GRACE_SECONDS = 5
 _TICK_INTERVAL_SECONDS = 1.0
@@ -45,7 +45,7 @@
     """Return the ASGI application with all HTTP interfaces of a router.
 
     :param application: the router.
-    :param handlers: further route handlers, such as the operators'.
+    :param handlers: additional route handlers, such as the operator API.
     """
     body_memory = BodyMemory(application.settings.callers.max_total_body_bytes)
     state = {
@@ -66,7 +66,7 @@
 
 
 class EmbeddedServer(uvicorn.Server):
-    """Server that leaves signals to the daemon.
+    """Uvicorn server that leaves signal handling to the daemon.
 
     :param app: the ASGI application.
     :param reader_timeout_seconds: how long a response may wait for its reader.
@@ -89,28 +89,28 @@
         self._stopping = asyncio.Event()
 
     def request_stop(self) -> None:
-        """Have the server finish the responses in progress and end."""
+        """Request that the server finish the responses in progress and stop."""
         self.should_exit = True
         self._stopping.set()
 
     async def main_loop(self) -> None:
-        """Wait for the stop; the library's own loop would wake ten times a second."""
+        """Run the periodic tick until the stop; Uvicorn's own loop wakes ten times a second."""
         while not await self.on_tick(0):
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._stopping.wait(), _TICK_INTERVAL_SECONDS)
 
     @contextlib.contextmanager
     def capture_signals(self) -> Generator[None, None, None]:
-        """Install no signal handlers."""
+        """Override Uvicorn's signal handling with none."""
         yield
 
 
 class HttpServer:
-    """Listens on a socket and serves an ASGI application; a life-cycle hook.
+    """Listens on a socket and serves an ASGI application.
 
     :param app: the ASGI application.
     :param host: address to listen on.
-    :param port: port to listen on; zero takes a free one.
+    :param port: port to listen on; zero selects a free port.
     :param reader_timeout_seconds: how long a response may wait for its reader.
     """
 
@@ -122,16 +122,16 @@
 
     @property
     def port(self) -> int:
-        """Return the port in use."""
+        """Return the listening port."""
         return self._port
 
     @property
     def connections(self) -> set[Any]:
-        """Return the protocol objects of all open connections."""
+        """Return the Uvicorn protocol objects of all open connections."""
         return self._server.server_state.connections
 
     async def start(self) -> None:
-        """Listen and serve.
+        """Start to listen and serve.
 
         :raises OSError: the address can't be bound.
         """
@@ -140,7 +140,7 @@
         self._task = asyncio.create_task(self._server.serve([listener]), name="http-server")
 
     async def stop(self) -> None:
-        """Accept no more connections, finish the responses in progress and return."""
+        """Close the listening socket and wait until the responses in progress are finished."""
         self._server.request_stop()
         if self._task is not None:
             await self._task
@@ -149,8 +149,9 @@
 def _create_listener(host: str, port: int) -> socket.socket:
     """Return a listening socket.
 
-    The protocol is named, since the event loop sends small writes at once only on sockets that name
-    it; without, the second write of each response waits for the acknowledgement of the first.
+    The protocol is given explicitly, because asyncio sets ``TCP_NODELAY`` only on sockets whose
+    protocol is ``IPPROTO_TCP``. Without it, the second write of each response waits for the
+    acknowledgement of the first.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
@@ -167,14 +168,14 @@
 
 @get("/health", media_type=MediaType.TEXT)
 async def _health(request: HttpRequest) -> Response[str]:
-    """Tell whether the process works; a fenced router must be replaced."""
+    """Return whether the process is healthy; a fenced router must be replaced."""
     fenced = request.app.state.application.blackboard.state is RouterState.FENCED
     return Response("fenced" if fenced else "ok", status_code=503 if fenced else 200)
 
 
 @get("/ready", media_type=MediaType.TEXT)
 async def _ready(request: HttpRequest) -> Response[str]:
-    """Tell whether the router takes new callers."""
+    """Return whether the router accepts new callers."""
     state = request.app.state.application.blackboard.state
     if state is RouterState.SERVING:
         return Response("ready")
@@ -183,9 +184,9 @@
 
 @get("/metrics")
 async def _metrics(request: HttpRequest) -> Response[bytes]:
-    """Serve all series to a scraper that holds the operators' key.
+    """Return all metrics; requires the operator key.
 
-    The text is built in a thread, so that a scrape doesn't hold up the streams.
+    The text is built in a thread, so that a scrape doesn't block the event loop and its streams.
     """
     application = request.app.state.application
     authorization = request.headers.get("authorization", "")
@@ -198,22 +199,26 @@
 
 
 def _respond_to_http_error(request: HttpRequest, error: HTTPException) -> Response[bytes]:
-    """Answer a request that no handler took."""
+    """Return the response to a request that the framework rejected."""
     reason = _REASONS_BY_STATUS.get(error.status_code, RefusalReason.MALFORMED)
     return _create_error_response(refusal(reason, error.detail), error.status_code)
 
 
 def _respond_to_unexpected_error(request: HttpRequest, error: Exception) -> Response[bytes]:
-    """Answer a request whose handler broke; nothing is known of what it did."""
+    """Return the response to a request whose handler raised an unexpected error.
+
+    The outcome is unknown, because the handler may have run any part of the request.
+    """
     log_unexpected_error(error, "server")
     failed = Failed(RefusalReason.INTERNAL, Unknown(), detail="internal error")
     return _create_error_response(failed)
 
 
 def _create_error_response(failed: Failed, status: int = 0) -> Response[bytes]:
-    """Return the response of an error.
+    """Return the error response for a failure.
 
-    :param status: HTTP status; that of the failure when zero.
+    :param failed: the failure.
+    :param status: HTTP status; zero selects the status of the failure.
     """
     headers = {name.decode(): value.decode() for name, value in error_headers(failed)}
     return Response(
--- a/packages/quinceferry-daemon/src/quinceferryd/settings.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/settings.py
@@ -1,6 +1,6 @@
 """Settings of the router daemon, one data class for each TOML table.
 
-Units stand in the key names. Every default suits a fleet of seven to nine routers.
+The names of the keys contain their units. The defaults suit a fleet of seven to nine routers.
 """
 
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterSettings:
-    """Identity and listening address, table ``[router]``."""
+    """Identity, listening address and secrets, table ``[router]``."""
 
     vm: str
     zone: str
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlatformSettings:
-    """Addresses of the platform's services, table ``[platform]``."""
+    """URLs, timeouts and polling of the platform's services, table ``[platform]``."""
 
     kv_url: str
     vm_list_url: str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JournalSettings:
-    """Group commit of bills, table ``[journal]``."""
+    """Group commit, compaction and retention of bills, table ``[journal]``."""
 
     min_commit_interval_seconds: float = 0.05
     copy_after_seconds: float = 0.25
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoverySettings:
-    """Recovery of incarnations that are gone, table ``[recovery]``."""
+    """Recovery of terminated incarnations, table ``[recovery]``."""
 
     check_interval_seconds: float = 10.0
     absence_seconds: float = 15.0
@@ -67,9 +67,10 @@
 class RoutingSettings:
     """Choice of upstream and admission, table ``[routing]``.
 
-    ``load_interval_seconds`` is stretched so that load and cache polls together stay below
-    ``max_polls_per_second``. Requests of at least ``long_prompt_tokens`` go to
-    ``long_work_upstream_share`` of the upstreams, and fill ``long_work_share`` of their slots.
+    ``load_interval_seconds`` is lengthened so that load and cache polls together stay below
+    ``max_polls_per_second``. Requests of at least ``long_prompt_tokens`` are sent to
+    ``long_work_upstream_share`` of the upstreams, and use at most ``long_work_share`` of their
+    slots.
     """
 
     load_interval_seconds: float = 1.0
@@ -94,9 +95,9 @@
 class StreamSettings:
     """Deadlines, buffers and retries of streams, table ``[streams]``.
 
-    ``max_buffered_chunks`` bounds what is held for a slow reader; one that takes nothing for
-    ``reader_timeout_seconds`` counts as gone. Retries beyond ``max_attempts`` of one request, or
-    beyond ``retry_share`` of all requests, are not made.
+    ``max_buffered_chunks`` limits the chunks buffered for a slow reader; one that reads nothing for
+    ``reader_timeout_seconds`` is treated as disconnected. A request is attempted at most
+    ``max_attempts`` times, and retries are limited to ``retry_share`` of all requests.
     """
 
     progress_timeout_seconds: float = 10.0
@@ -129,8 +130,8 @@
 class ShutdownSettings:
     """Graceful stop, table ``[shutdown]``.
 
-    The bound covers the life of an address answer, the longest deadline of a request and a minute
-    for tokens and bills.
+    The limit covers the time to live of an address answer, the longest deadline of a request and a
+    minute to return tokens and write bills.
     """
 
     max_drain_seconds: float = 700.0
@@ -138,9 +139,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerSettings:
-    """Bounds of the caller interface, table ``[callers]``.
+    """Limits of the caller interface, table ``[callers]``.
 
-    ``max_total_body_bytes`` bounds all request bodies held at once.
+    ``max_total_body_bytes`` limits the total size of all request bodies in memory.
     """
 
     max_body_bytes: int = 1024 * 1024
@@ -153,7 +154,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All settings of one daemon."""
+    """All settings of a daemon."""
 
     router: RouterSettings
     platform: PlatformSettings
--- a/packages/quinceferry-daemon/src/quinceferryd/settings_file.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/settings_file.py
@@ -1,4 +1,4 @@
-"""Loads the settings file and reports all of its faults at once."""
+"""Loads and validates the settings file, and reports all of its faults at once."""
 
 import dataclasses
 import math
@@ -29,16 +29,16 @@
     reason: str
 
     def __str__(self) -> str:
-        """Return one line for people."""
+        """Return the fault as one line of text."""
         return (
             f"{self.file}: {self.key}: {self.reason}" if self.key else f"{self.file}: {self.reason}"
         )
 
 
 class SettingsFileError(SettingsError):
-    """The settings file holds faults.
+    """The settings file is invalid.
 
-    :param faults: all of them, in the order of the settings reference.
+    :param faults: all faults, in the order of the settings reference.
     """
 
     def __init__(self, faults: list[SettingsFault]) -> None:
@@ -51,23 +51,26 @@
 
 
 def load(path: str | Path) -> Settings:
-    """Load and check a settings file.
+    """Load and validate a settings file.
 
     :param path: path of the TOML file.
-    :raises SettingsFileError: the file can't be read, or holds faults.
+    :raises SettingsFileError: the file can't be read or is invalid.
     """
     return _Loader(str(path)).load()
 
 
 class _Loader:
-    """Collects the faults of one file."""
+    """Loads one settings file and collects its faults."""
 
     def __init__(self, path: str) -> None:
         self._path = path
         self._faults: list[SettingsFault] = []
 
     def load(self) -> Settings:
-        """Return the settings, or raise with all faults."""
+        """Return the settings.
+
+        :raises SettingsFileError: the file can't be read or is invalid.
+        """
         document = self._parse()
         self._check_unknown_keys(document, _fields(Settings), "")
         values = {
@@ -83,7 +86,10 @@
         return settings
 
     def _parse(self) -> dict[str, Any]:
-        """Read the file."""
+        """Read the file and parse it as TOML.
+
+        :raises SettingsFileError: the file can't be read or is not valid TOML.
+        """
         try:
             return tomllib.loads(Path(self._path).read_text(encoding="utf-8"))
         except (OSError, UnicodeDecodeError) as error:
@@ -93,7 +99,7 @@
         raise SettingsFileError([SettingsFault(self._path, "", reason)])
 
     def _read_table(self, document: dict[str, Any], name: str, table_type: type) -> Any:
-        """Read one table; None when it has faults."""
+        """Read one table; return None when it has faults."""
         table = document.get(name, {})
         if not isinstance(table, dict):
             self._add_fault(name, "must be a table")
@@ -104,7 +110,7 @@
         return table_type(**values) if len(self._faults) == fault_count else None
 
     def _read_values(self, table: dict[str, Any], name: str, table_type: type) -> dict[str, Any]:
-        """Read the keys of one table that are present."""
+        """Return the values of the keys in a table, and add a fault for each missing key."""
         values = {}
         for field, expected in zip(
             dataclasses.fields(table_type), _fields(table_type), strict=True
@@ -117,7 +123,7 @@
         return values
 
     def _check_value(self, key: str, value: Any, expected_type: type) -> Any:
-        """Check one value and return it in its type."""
+        """Check the type and range of a value; return it, an integer for a float field as float."""
         if expected_type is float and type(value) is int:
             value = float(value)
         if type(value) is not expected_type:
@@ -131,7 +137,7 @@
     def _check_unknown_keys(
         self, table: dict[str, Any], fields: list[tuple[str, type]], prefix: str
     ) -> None:
-        """Add a fault for each key that nothing reads."""
+        """Add a fault for each key that is not a field."""
         known_names = {name for name, _ in fields}
         for name in table:
             if name not in known_names:
@@ -143,6 +149,6 @@
 
 
 def _fields(table_type: type) -> list[tuple[str, type]]:
-    """Return the names and types of a data class's fields."""
+    """Return the names and types of the fields of a data class."""
     types_by_name = typing.get_type_hints(table_type)
     return [(field.name, types_by_name[field.name]) for field in dataclasses.fields(table_type)]
--- a/packages/quinceferry-daemon/src/quinceferryd/settings_rules.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/settings_rules.py
@@ -1,4 +1,4 @@
-"""Ranges and relations that settings must keep."""
+"""Validation rules of the settings: ranges of values and relations between them."""
 
 import ipaddress
 import re
@@ -9,28 +9,32 @@
 from quinceferryd.settings import Settings
 
 MIN_SECRET_CHARACTERS = 16
-"""Shortest secret accepted."""
+"""Minimum length of a secret."""
 
 _NAME_PATTERN = re.compile(r"[A-Za-z0-9_.-]{1,64}")
 _MAX_PORT = 65535
 _MAX_SECONDS = 86400.0
 
 Rule = Callable[[Any], str]
-"""Returns why a value is wrong, or nothing; it must not repeat the value of a string."""
+"""Returns the reason why a value is invalid, or an empty string.
+
+The reason must not contain the value of a string, since it may be a secret.
+"""
 
 
 def check_value(key: str, value: object) -> str:
-    """Check one value by its key, or else by the unit in its key.
+    """Check a value by the rule of its key, or else of the unit that ends its key.
 
     :param key: ``table.key``.
-    :return: what is wrong; empty when nothing is.
+    :param value: the value, of the type that the key requires.
+    :return: the reason why the value is invalid; empty when it is valid.
     """
     rule = _RULES_BY_KEY.get(key) or _find_unit_rule(key)
     return rule(value) if rule else ""
 
 
 def check_relations(settings: Settings) -> Iterator[tuple[str, str]]:
-    """Check values against each other; yields keys and reasons."""
+    """Check values against each other; yield a key and a reason for each violation."""
     router, membership = settings.router, settings.membership
     streams, callers = settings.streams, settings.callers
     if router.operator_key == router.fleet_secret:
@@ -49,7 +53,7 @@
 
 
 def _find_unit_rule(key: str) -> Rule | None:
-    """Return the rule of the unit in which a key ends."""
+    """Return the rule for the unit suffix of a key; None when the suffix has no rule."""
     for suffix, rule in _RULES_BY_SUFFIX.items():
         if key.endswith(suffix):
             return rule
@@ -57,7 +61,7 @@
 
 
 def _check_name(value: str) -> str:
-    """Check a name."""
+    """Check the characters and the length of a name."""
     return "" if _NAME_PATTERN.fullmatch(value) else f"must match {_NAME_PATTERN.pattern}"
 
 
@@ -110,12 +114,12 @@
 
 
 def _check_share(value: float) -> str:
-    """Check a share of a whole."""
+    """Check a share: above 0 and at most 1."""
     return "" if 0 < value <= 1 else f"must be above 0 and at most 1, not {value:g}"
 
 
 def _seconds(value: float) -> str:
-    """Check a duration."""
+    """Check a duration: above 0 and at most one day."""
     if 0 < value <= _MAX_SECONDS:
         return ""
     return f"must be above 0 and at most {_MAX_SECONDS:g} seconds, not {value:g}"
--- a/packages/quinceferry-daemon/src/quinceferryd/shutdown.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shutdown.py
@@ -1,4 +1,8 @@
-"""Graceful stop: leave the answers, serve on, finish, return what is held, leave the fleet."""
+"""Graceful stop of a router.
+
+The router announces its stop, so that address answers no longer name it, and serves until earlier
+answers have expired. Then it finishes its requests, returns its tokens and leaves the fleet.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,17 +22,17 @@
 from quinceferryd.settings import ShutdownSettings
 
 DRAIN_KEY_PREFIX = "config/drains/"
-"""Orders to stop; below the prefix that every router watches anyway."""
+"""Prefix of drain orders; below the configuration prefix, which every router watches."""
 ANSWER_PROPAGATION_SECONDS = 10.0
-"""How long other routers may go on naming this one after it announced its stop."""
+"""How long other routers may still name this one in answers after it announced its stop."""
 CHECK_INTERVAL_SECONDS = 0.25
 RETRY_INTERVAL_SECONDS = 1.0
 MAX_STORE_STEP_SECONDS = 30.0
-"""Bound of each of the steps that need the key-value service."""
+"""Time limit of each of the two steps that need the key-value service."""
 
 
 class StopStep(Enum):
-    """Step of a graceful stop, in order; shown in the heartbeat record."""
+    """Steps of a graceful stop, in order; published in the heartbeat record."""
 
     ANNOUNCE = "announce"
     WAIT_FOR_ANSWERS = "wait_for_answers"
@@ -39,32 +43,33 @@
 
 
 class DrainOrder(msgspec.Struct, frozen=True):
-    """An operator's order to stop one router."""
+    """Order of an operator to stop one router gracefully."""
 
     operation_id: OperationId
 
 
 def build_drain_key(incarnation: IncarnationId) -> str:
-    """Return the key that orders an incarnation to stop."""
+    """Return the key of the drain order for an incarnation."""
     return f"{DRAIN_KEY_PREFIX}{incarnation}"
 
 
 class ShutdownController(TaskGroupController):
-    """Runs the graceful stop once, and watches for orders to begin it.
+    """Runs the graceful stop once, and watches for drain orders that request it.
 
-    The whole stop is bounded by ``max_drain_seconds``, of which the wait for stale answers takes
-    ``answer_ttl_seconds`` and ``ANSWER_PROPAGATION_SECONDS``. Requests that the bound would cut
-    can only be those with a longer deadline.
+    ``max_drain_seconds`` limits the time until the requests have finished. The wait for expired
+    answers takes ``answer_ttl_seconds`` and ``ANSWER_PROPAGATION_SECONDS`` of it. Only requests
+    whose deadline is later than this limit can be aborted. The steps after it have
+    ``MAX_STORE_STEP_SECONDS`` each.
 
     :param blackboard: shared state.
     :param kv: the key-value service.
     :param clock: source of time.
-    :param settings: bound of the stop.
-    :param answer_ttl_seconds: lifetime of address answers.
-    :param membership: owner of this router's records.
-    :param configuration: source of changes below the drain prefix.
-    :param open_requests: counts the requests in progress here.
-    :param return_allotments: makes bills durable and returns all tokens.
+    :param settings: time limit of the stop.
+    :param answer_ttl_seconds: time to live of address answers.
+    :param membership: controller of this router's member record.
+    :param configuration: reports changes of keys below the drain prefix.
+    :param open_requests: returns the number of requests in progress here.
+    :param return_allotments: writes bills durably and returns all tokens.
     """
 
     def __init__(
@@ -90,7 +95,7 @@
         self._return_allotments = return_allotments
         self._deadline = float("inf")
         self.stop_requested = asyncio.Event()
-        """Set when an operator has ordered this router to stop."""
+        """Set when a drain order for this router is known."""
         self.step: StopStep | None = None
         self.steps: list[StopStep] = []
         self.aborted_requests = 0
@@ -98,7 +103,7 @@
         membership.add_join_hook(self._check_drain_order)
 
     async def run(self) -> None:
-        """Stop gracefully; returns when this router has left the fleet or the bound has passed."""
+        """Stop gracefully; return when this router has left the fleet or the time limits passed."""
         if self.step is not None:
             return
         self._deadline = self._clock.monotonic() + self._settings.max_drain_seconds
@@ -117,7 +122,10 @@
         self._record_step(StopStep.DONE)
 
     async def _announce(self) -> None:
-        """Publish the stop; the wait for stale answers begins when others can have read it."""
+        """Publish the stop, and retry until other routers can read it or the deadline has passed.
+
+        The wait for expired answers starts only after the publication.
+        """
         while self._is_before_deadline():
             await self._membership.update_member(
                 state=MemberState.STOPPING, stop_step=StopStep.ANNOUNCE.value
@@ -127,7 +135,7 @@
             await self._clock.sleep(RETRY_INTERVAL_SECONDS)
 
     async def _wait_for_answers(self) -> None:
-        """Serve until no caller holds an answer that names this router."""
+        """Serve until all address answers that name this router have expired."""
         if self._blackboard.state is RouterState.FENCED:
             return
         self._blackboard.state = RouterState.STOPPING
@@ -136,15 +144,16 @@
             await self._clock.sleep(CHECK_INTERVAL_SECONDS)
 
     async def _finish_requests(self) -> None:
-        """Wait until nothing is in progress, then take nothing new."""
+        """Wait until no request is in progress, then accept no new ones."""
         while self._open_requests() > 0 and self._is_before_deadline():
             await self._clock.sleep(CHECK_INTERVAL_SECONDS)
             await self._publish_open_requests()
-        # No await may stand between the last count and the change of state.
+        # No await between the count and the change of state: a request could start in between.
         self.aborted_requests = self._open_requests()
         self._blackboard.state = RouterState.LEFT
 
     async def _leave(self) -> None:
+        """Delete the drain order and leave the fleet, retrying while the store fails."""
         incarnation = self._blackboard.identity.incarnation
         while True:
             try:
@@ -154,25 +163,29 @@
                 await self._clock.sleep(RETRY_INTERVAL_SECONDS)
 
     async def _publish_open_requests(self) -> None:
+        """Publish the number of open requests when it has changed."""
         member = self._membership.member
         if member is not None and member.open_streams != self._open_requests():
             await self._membership.update_member(open_streams=self._open_requests())
 
     async def _publish_step(self, step: StopStep) -> None:
+        """Record a step and publish it with the number of open requests."""
         self._record_step(step)
         await self._membership.update_member(
             stop_step=step.value, open_streams=self._open_requests()
         )
 
     def _record_step(self, step: StopStep) -> None:
+        """Record the step that begins."""
         self.step = step
         self.steps.append(step)
 
     def _is_before_deadline(self) -> bool:
+        """Return whether the time limit of the stop has not passed yet."""
         return self._clock.monotonic() < self._deadline
 
     async def _run_with_timeout(self, timeout_seconds: float, awaitable: Awaitable[None]) -> None:
-        """Wait for a step for a bounded time, however long it would take."""
+        """Await a step, and cancel it after a timeout; its errors are ignored."""
         task = asyncio.ensure_future(awaitable)
         deadline = self._clock.monotonic() + timeout_seconds
         while not task.done() and self._clock.monotonic() < deadline:
@@ -182,11 +195,12 @@
         await asyncio.gather(task, return_exceptions=True)
 
     async def _on_drain_key(self, key: str, entry: KvEntry | None) -> None:
+        """Request the stop when the drain order for this incarnation is written."""
         if entry is not None and key == build_drain_key(self._blackboard.identity.incarnation):
             self.stop_requested.set()
 
     async def _check_drain_order(self) -> None:
-        """Read an order that came before this router watched for it, or in a gap."""
+        """Look for a drain order that was written before the watch began or during a gap in it."""
         if self.stop_requested.is_set() or not self._blackboard.identity.incarnation:
             return
         entry = await self._kv.get(build_drain_key(self._blackboard.identity.incarnation))
@@ -194,6 +208,7 @@
             self.stop_requested.set()
 
     async def _delete_drain_order(self, incarnation: IncarnationId) -> None:
+        """Delete the drain order for an incarnation, if there is one."""
         entry = await self._kv.get(build_drain_key(incarnation))
         if entry is None:
             return
--- a/packages/quinceferry-daemon/src/quinceferryd/workspace_labels.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/workspace_labels.py
@@ -1,17 +1,17 @@
-"""Bounds the workspaces that appear in metrics under their own name.
-
-A fleet holds thousands of workspaces, and each one with its own series would fill the process's
-memory: a histogram alone takes kilobytes for each workspace and class. So only a fixed number of
-them is named, and all others share one label. A named workspace stays named, since a counter that
-left and came back would lie. Each further name asks for a larger share of traffic than the one
-before: the first requests after a start do not use up the names, and a workspace that becomes busy
-late still finds one.
+"""Limits the number of workspaces that have a label of their own in metrics.
+
+A fleet has thousands of workspaces, and a series for each would exhaust the process's memory: a
+histogram alone takes kilobytes per workspace and priority class. Therefore a fixed number of
+workspaces have their own label, and all others share one. A workspace keeps its label, because a
+counter that disappeared and came back would show wrong rates. The number of requests needed for a
+label doubles with each group of labels assigned: the first requests after a start do not use up the
+labels, and a workspace that becomes busy later can still get one.
 """
 
 OTHER_WORKSPACES = "other"
-"""Label shared by all workspaces without a name of their own."""
+"""Label shared by all workspaces without a label of their own."""
 MAX_LABELED_WORKSPACES = 48
-"""Workspaces with a name of their own."""
+"""Number of workspaces with a label of their own."""
 
 _LABELS_PER_THRESHOLD = 8
 _FIRST_THRESHOLD_REQUESTS = 2
@@ -19,9 +19,9 @@
 
 
 class WorkspaceLabels:
-    """Decides under which label a workspace appears.
+    """Assigns metric labels to workspaces.
 
-    :param max_named: workspaces with a name of their own.
+    :param max_labeled: number of workspaces with a label of their own.
     """
 
     def __init__(self, max_labeled: int = MAX_LABELED_WORKSPACES) -> None:
@@ -48,12 +48,12 @@
         return OTHER_WORKSPACES
 
     def _threshold_requests(self) -> int:
-        """Return how many requests earn the next name."""
+        """Return the number of requests that a workspace needs for the next label."""
         return _FIRST_THRESHOLD_REQUESTS * 2 ** (
             len(self._labeled_workspaces) // _LABELS_PER_THRESHOLD
         )
 
     def _evict_oldest_count(self) -> None:
-        """Forget the workspace that was counted longest ago, when too many are counted."""
+        """Remove the count updated least recently when more workspaces than allowed are counted."""
         if len(self._counts_by_workspace) > self._max_labeled * _COUNTED_WORKSPACES_PER_LABEL:
             del self._counts_by_workspace[next(iter(self._counts_by_workspace))]
