--- a/packages/quinceferry-daemon/src/quinceferryd/caller_documents.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/caller_documents.py
@@ -4,7 +4,7 @@
 
 from quinceferry_core.models import Usage
 from quinceferry_core.outcomes import NotRun, Outcome, Run
-from quinceferryd.refusals import outcome_word
+from quinceferryd.refusals import outcome_label
 
 
 class OutcomeDocument(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -44,7 +44,7 @@
     """Return the document that describes an outcome to a caller."""
     return OutcomeDocument(
         request_id,
-        outcome_word(outcome),
+        outcome_label(outcome),
         proof=outcome.proof.value if isinstance(outcome, NotRun) else "",
         usage=outcome.usage if isinstance(outcome, Run) else None,
     )
--- a/packages/quinceferry-daemon/src/quinceferryd/meters.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/meters.py
@@ -6,7 +6,7 @@
 from quinceferry_core.models import CallerRequest, Usage
 from quinceferry_core.outcomes import Failed, Finished, Run
 from quinceferryd.metrics import Metrics
-from quinceferryd.refusals import outcome_word
+from quinceferryd.refusals import outcome_label
 
 GAP_SAMPLING_INTERVAL = 16
 """One of this many gaps between two chunks is recorded."""
@@ -65,7 +65,7 @@
             case Failed(outcome=outcome):
                 self._metrics.count_refusal(self._request.workspace, event.reason)
                 usage = outcome.usage if isinstance(outcome, Run) else None
-                self._record_outcome(outcome_word(outcome), usage)
+                self._record_outcome(outcome_label(outcome), usage)
 
     def close(self) -> None:
         """Record that the caller disconnected, unless the answer has ended before."""
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
@@ -20,9 +20,9 @@
 from quinceferryd.blackboard import RouterState
 from quinceferryd.budgets import TopUpRejected
 from quinceferryd.keys import matches_key
-from quinceferryd.operator_changes import builder_of, fingerprint_of
+from quinceferryd.operator_changes import change_builder, message_fingerprint
 from quinceferryd.operator_failures import (
-    RETRY_SECONDS,
+    RETRY_AFTER_SECONDS,
     OperatorCallError,
     call_failure,
     conflict_failure,
@@ -30,7 +30,7 @@
     on_http_error,
     on_unavailable,
 )
-from quinceferryd.operator_interfaces import OperatedRouter
+from quinceferryd.operator_interfaces import OperatorApplication
 from quinceferryd.operator_views import (
     balance_reply,
     bills_reply,
@@ -51,20 +51,20 @@
     :param application: the router.
     """
 
-    def __init__(self, application: OperatedRouter) -> None:
+    def __init__(self, application: OperatorApplication) -> None:
         self._application = application
         self._blackboard = application.blackboard
 
-    async def change(self, data: messages.Change) -> replies.ChangeReply:
+    async def change_configuration(self, data: messages.Change) -> replies.ChangeReply:
         """Change the configuration."""
         self._check_ready()
-        changed = await self._application.operators.propose(
-            builder_of(data),
+        result = await self._application.operators.propose(
+            change_builder(data),
             data.expected_revision,
             OperationId(data.operation_id),
-            fingerprint_of(data),
+            message_fingerprint(data),
         )
-        match changed:
+        match result:
             case Success(status):
                 return change_reply(data.operation_id, status)
             case Failure(conflict):
@@ -83,27 +83,29 @@
     async def top_up(self, data: messages.TopUp) -> replies.BalanceReply:
         """Add prepaid tokens to a workspace."""
         self._check_applied(data)
-        workspace = self._workspace(data.workspace)
-        granted = await self._application.budgets.top_up(
+        workspace = self._require_workspace(data.workspace)
+        result = await self._application.budgets.top_up(
             workspace, data.tokens, OperationId(data.operation_id)
         )
-        match granted:
+        match result:
             case Success(balance):
                 return balance_reply(balance)
             case Failure(TopUpRejected(detail=detail, is_outcome_unknown=True)):
-                raise call_failure("outcome_unknown", detail, retry_after_seconds=RETRY_SECONDS)
+                raise call_failure(
+                    "outcome_unknown", detail, retry_after_seconds=RETRY_AFTER_SECONDS
+                )
             case Failure(rejected):
                 raise call_failure("operation_reused", rejected.detail)
         raise AssertionError("a result is a success or a failure")
 
     async def get_balance(self, data: messages.GetBalance) -> replies.BalanceReply:
         """Read the budget of a workspace."""
-        workspace = self._workspace(data.workspace)
+        workspace = self._require_workspace(data.workspace)
         return balance_reply(await self._application.budgets.balance(workspace))
 
     async def list_bills(self, data: messages.ListBills) -> replies.ListBillsReply:
         """Read a page of the bills of a workspace."""
-        workspace = self._workspace(data.workspace)
+        workspace = self._require_workspace(data.workspace)
         page = await self._application.budgets.bills(workspace, data.cursor)
         return bills_reply(workspace, page)
 
@@ -121,10 +123,10 @@
     async def drain(self, data: messages.Drain) -> replies.DrainReply:
         """Stop a router gracefully."""
         self._check_applied(data)
-        drained = await self._application.operators.drain(
+        result = await self._application.operators.drain(
             IncarnationId(data.router), OperationId(data.operation_id)
         )
-        match drained:
+        match result:
             case Success(member):
                 return replies.DrainReply(
                     operation_id=data.operation_id, router=data.router, state=member.state.value
@@ -136,8 +138,8 @@
     async def declare_gone(self, data: messages.DeclareGone) -> replies.DeclareGoneReply:
         """Take the operator's word that a router's process has ended."""
         self._check_applied(data)
-        declared = await self._application.operators.declare_gone(IncarnationId(data.router))
-        match declared:
+        result = await self._application.operators.declare_gone(IncarnationId(data.router))
+        match result:
             case Success(record):
                 return replies.DeclareGoneReply(
                     operation_id=data.operation_id, router=data.router, vm=record.vm
@@ -146,7 +148,7 @@
                 raise call_failure("refused", detail)
         raise AssertionError("a result is a success or a failure")
 
-    def holds_key(self, authorization: str) -> bool:
+    def is_authorized(self, authorization: str) -> bool:
         """Return whether an ``Authorization`` header carries the operators' key."""
         return matches_key(authorization, self._application.settings.router.operator_key)
 
@@ -154,7 +156,7 @@
         """Refuse a call before this router has joined, when it knows nothing of the fleet."""
         if self._blackboard.state is RouterState.STARTING:
             detail = "this router has not joined the fleet yet"
-            raise call_failure("router_not_ready", detail, retry_after_seconds=RETRY_SECONDS)
+            raise call_failure("router_not_ready", detail, retry_after_seconds=RETRY_AFTER_SECONDS)
 
     def _check_applied(self, data: messages.Change) -> None:
         """Refuse a change when this router has not yet applied the revision it builds on."""
@@ -165,10 +167,10 @@
                 "revision_not_applied",
                 f"this router applies revision {applied}",
                 revision=applied,
-                retry_after_seconds=RETRY_SECONDS,
+                retry_after_seconds=RETRY_AFTER_SECONDS,
             )
 
-    def _workspace(self, name: str) -> WorkspaceId:
+    def _require_workspace(self, name: str) -> WorkspaceId:
         """Return the identifier of a workspace that exists."""
         self._check_ready()
         workspace = WorkspaceId(name)
@@ -177,17 +179,20 @@
         return workspace
 
 
-def build_operator_routes(application: OperatedRouter) -> list[Router]:
+def build_operator_routes(application: OperatorApplication) -> list[Router]:
     """Return the operators' routes of a router.
 
     :param application: the router.
     """
     api = OperatorApi(application)
-    handlers = [_handler(kind, _method_of(api, kind)) for kind in REPLIES_BY_MESSAGE]
+    handlers = [
+        _build_handler(message_type, _api_method(api, message_type))
+        for message_type in REPLIES_BY_MESSAGE
+    ]
     router = Router(
         OPERATOR_PATH,
-        route_handlers=[*handlers, _schema],
-        guards=[_guard(api)],
+        route_handlers=[*handlers, _serve_schema],
+        guards=[_build_guard(api)],
         exception_handlers={
             OperatorCallError: on_call_failure,
             QuinceferryError: on_unavailable,
@@ -197,27 +202,27 @@
     return [router]
 
 
-def _guard(api: OperatorApi) -> Guard:
+def _build_guard(api: OperatorApi) -> Guard:
     """Return what refuses calls without the operators' key.
 
     It is a function and no bound method, because litestar copies guards with all they hold.
     """
 
     async def authenticate(connection: ASGIConnection[Any, Any, Any, Any], _: Any) -> None:
-        if not api.holds_key(connection.headers.get("authorization", "")):
+        if not api.is_authorized(connection.headers.get("authorization", "")):
             raise NotAuthorizedException("the operators' key is wrong or missing")
 
     return authenticate
 
 
 @get("/schema.json", include_in_schema=False)
-async def _schema() -> Response[bytes]:
+async def _serve_schema() -> Response[bytes]:
     """Serve the committed schema; it is read when asked for, so that it holds no memory."""
     document = files(__package__).joinpath(SCHEMA_FILE).read_bytes()
     return Response(document, media_type="application/json")
 
 
-def _method_of(api: OperatorApi, kind: type[messages.Message]) -> Callable[..., Any]:
+def _api_method(api: OperatorApi, message_type: type[messages.Message]) -> Callable[..., Any]:
     """Return what handles a call."""
     methods_by_message: dict[type[messages.Message], Callable[..., Any]] = {
         messages.GetChange: api.get_change,
@@ -229,22 +234,24 @@
         messages.Drain: api.drain,
         messages.DeclareGone: api.declare_gone,
     }
-    return methods_by_message.get(kind, api.change)
+    return methods_by_message.get(message_type, api.change_configuration)
 
 
-def _handler(kind: type[messages.Message], method: Callable[..., Any]) -> BaseRouteHandler:
+def _build_handler(
+    message_type: type[messages.Message], method: Callable[..., Any]
+) -> BaseRouteHandler:
     """Return the route handler of one call, typed with its own message and reply."""
 
     async def handle(data: Any) -> Any:
         return await method(data)
 
-    handle.__name__ = kind.__name__
-    handle.__annotations__ = {"data": kind, "return": REPLIES_BY_MESSAGE[kind]}
+    handle.__name__ = message_type.__name__
+    handle.__annotations__ = {"data": message_type, "return": REPLIES_BY_MESSAGE[message_type]}
     return post(
-        f"/{kind.__name__}",
+        f"/{message_type.__name__}",
         status_code=200,
-        operation_id=kind.__name__,
-        summary=(kind.__doc__ or "").partition("\n")[0],
+        operation_id=message_type.__name__,
+        summary=(message_type.__doc__ or "").partition("\n")[0],
         responses={
             status: ResponseSpec(
                 replies.OperatorFailure, description="Refused or failed", generate_examples=False
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_changes.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_changes.py
@@ -29,16 +29,16 @@
     WorkspaceSpec,
 )
 
-Built = Result[ConfigurationChange, str]
+BuildResult = Result[ConfigurationChange, str]
 
 
-def builder_of(message: messages.Change) -> ChangeBuilder:
+def change_builder(message: messages.Change) -> ChangeBuilder:
     """Return what derives the change from the newest configuration.
 
     :param message: a message that changes the configuration.
     """
 
-    def build(configuration: Configuration) -> Built:
+    def build(configuration: Configuration) -> BuildResult:
         match message:
             case messages.CreateWorkspace():
                 return _create_workspace(message, configuration)
@@ -58,7 +58,7 @@
     return build
 
 
-def fingerprint_of(message: messages.Change) -> str:
+def message_fingerprint(message: messages.Change) -> str:
     """Return a digest of what a message asks for.
 
     The expected revision is left out: a repeat may have read a newer one.
@@ -67,7 +67,9 @@
     return hashlib.sha256(type(message).__name__.encode() + document).hexdigest()
 
 
-def _create_workspace(message: messages.CreateWorkspace, configuration: Configuration) -> Built:
+def _create_workspace(
+    message: messages.CreateWorkspace, configuration: Configuration
+) -> BuildResult:
     """Return a new workspace."""
     if message.workspace in configuration.workspaces_by_id:
         return Failure(f"workspace {message.workspace} exists already")
@@ -77,15 +79,17 @@
     spec = WorkspaceSpec(
         WorkspaceId(message.workspace),
         (message.key_hash,),
-        _models(message.models),
+        _parse_models(message.models),
         tuple(message.services),
         Priority[message.priority.upper()],
         limits,
     )
-    return _checked(spec, configuration)
+    return _validate_workspace(spec, configuration)
 
 
-def _update_workspace(message: messages.UpdateWorkspace, configuration: Configuration) -> Built:
+def _update_workspace(
+    message: messages.UpdateWorkspace, configuration: Configuration
+) -> BuildResult:
     """Return a workspace with the given fields replaced."""
     spec = configuration.workspaces_by_id.get(WorkspaceId(message.workspace))
     if spec is None:
@@ -96,25 +100,25 @@
         "concurrent_streams": message.concurrent_streams,
     }
     fields = {
-        "models": None if message.models is None else _models(message.models),
+        "models": None if message.models is None else _parse_models(message.models),
         "services": None if message.services is None else tuple(message.services),
         "priority": None if message.priority is None else Priority[message.priority.upper()],
-        "limits": replace(spec.limits, **_given(limits)),
+        "limits": replace(spec.limits, **_drop_none(limits)),
     }
-    return _checked(replace(spec, **_given(fields)), configuration)
+    return _validate_workspace(replace(spec, **_drop_none(fields)), configuration)
 
 
-def _rotate_key(message: messages.RotateWorkspaceKey, configuration: Configuration) -> Built:
+def _rotate_key(message: messages.RotateWorkspaceKey, configuration: Configuration) -> BuildResult:
     """Return a workspace with a new key, and its newest previous one if that stays."""
     spec = configuration.workspaces_by_id.get(WorkspaceId(message.workspace))
     if spec is None:
         return Failure(f"workspace {message.workspace} does not exist")
     previous = spec.key_hashes[:1] if message.keep_previous else ()
     hashes = dict.fromkeys((message.key_hash, *previous))
-    return _checked(replace(spec, key_hashes=tuple(hashes)), configuration)
+    return _validate_workspace(replace(spec, key_hashes=tuple(hashes)), configuration)
 
 
-def _register_model(message: messages.RegisterModel) -> Built:
+def _register_model(message: messages.RegisterModel) -> BuildResult:
     """Return a model."""
     if message.default_output_tokens > message.max_output_tokens:
         return Failure("default_output_tokens is above max_output_tokens")
@@ -127,7 +131,7 @@
     return Success(PutModel(spec))
 
 
-def _register_upstream(message: messages.RegisterUpstream) -> Built:
+def _register_upstream(message: messages.RegisterUpstream) -> BuildResult:
     """Return an upstream."""
     kind = UpstreamKind(message.kind)
     if (kind is UpstreamKind.SERVICE) != bool(message.service):
@@ -145,7 +149,7 @@
     return Success(PutUpstream(spec))
 
 
-def _checked(spec: WorkspaceSpec, configuration: Configuration) -> Built:
+def _validate_workspace(spec: WorkspaceSpec, configuration: Configuration) -> BuildResult:
     """Refuse a workspace with an unregistered model or with another workspace's key."""
     for model in spec.models:
         if model.model not in configuration.models_by_name:
@@ -156,11 +160,11 @@
     return Success(PutWorkspace(spec))
 
 
-def _models(names: list[str]) -> tuple[ModelRef, ...]:
+def _parse_models(names: list[str]) -> tuple[ModelRef, ...]:
     """Read the text forms of models."""
     return tuple(ModelRef.parse(name) for name in names)
 
 
-def _given(fields: dict[str, object]) -> dict[str, object]:
+def _drop_none(fields: dict[str, object]) -> dict[str, object]:
     """Return the fields that are not None."""
     return {name: value for name, value in fields.items() if value is not None}
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_failures.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_failures.py
@@ -9,7 +9,7 @@
 from quinceferry_core.exceptions import QuinceferryError
 from quinceferry_core.operator_replies import OperatorFailure
 
-RETRY_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 """When to repeat a call that met an unavailable service."""
 
 STATUS_BY_CODE = {
@@ -82,7 +82,7 @@
     failure = OperatorFailure(
         code="unavailable",
         detail=error.detail or type(error).__name__,
-        retry_after_seconds=RETRY_SECONDS,
+        retry_after_seconds=RETRY_AFTER_SECONDS,
         step=error.step,
         peer=error.peer,
     )
@@ -94,15 +94,15 @@
 ) -> Response[OperatorFailure]:
     """Answer a call that never reached its handler."""
     code = _CODES_BY_STATUS.get(error.status_code, "malformed")
-    failure = OperatorFailure(code=code, detail=_detail_of(error), step="operator_api.read")
+    failure = OperatorFailure(code=code, detail=_error_detail(error), step="operator_api.read")
     return _respond(failure)
 
 
-def _detail_of(error: HTTPException) -> str:
+def _error_detail(error: HTTPException) -> str:
     """Return the detail of an error, with each faulty field."""
     extra = error.extra if isinstance(error.extra, list) else []
-    faults = [f"{item.get('key', 'body')}: {item.get('message', '')}" for item in extra]
-    return "; ".join(faults) or error.detail
+    field_errors = [f"{item.get('key', 'body')}: {item.get('message', '')}" for item in extra]
+    return "; ".join(field_errors) or error.detail
 
 
 def _respond(failure: OperatorFailure) -> Response[OperatorFailure]:
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_interfaces.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_interfaces.py
@@ -61,7 +61,7 @@
     open_requests: int
 
 
-class OperatedRouter(Protocol):
+class OperatorApplication(Protocol):
     """One router, seen from its operators' interface."""
 
     settings: Settings
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_schema.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_schema.py
@@ -13,12 +13,12 @@
 from litestar.openapi.spec import Components, SecurityScheme
 
 from quinceferryd.operator_api import SCHEMA_FILE, build_operator_routes
-from quinceferryd.operator_interfaces import OperatedRouter
+from quinceferryd.operator_interfaces import OperatorApplication
 
 SCHEMA_PATH = Path(__file__).with_name(SCHEMA_FILE)
 """Where the committed schema is."""
 
-_KEY_SCHEME = "operatorKey"
+_SECURITY_SCHEME_NAME = "operatorKey"
 
 
 def schema_document(routes: list[Any]) -> bytes:
@@ -34,8 +34,8 @@
             "Each call is a POST with a JSON message. A change carries an operation id, under "
             "which it may be repeated safely, and the revision it was decided on."
         ),
-        components=Components(security_schemes={_KEY_SCHEME: scheme}),
-        security=[{_KEY_SCHEME: []}],
+        components=Components(security_schemes={_SECURITY_SCHEME_NAME: scheme}),
+        security=[{_SECURITY_SCHEME_NAME: []}],
     )
     app = Litestar(routes, openapi_config=config, logging_config=None)
     document = msgspec.json.encode(app.openapi_schema.to_schema(), order="sorted")
@@ -44,7 +44,7 @@
 
 def main() -> None:
     """Write the committed schema."""
-    routes = build_operator_routes(cast(OperatedRouter, SimpleNamespace(blackboard=None)))
+    routes = build_operator_routes(cast(OperatorApplication, SimpleNamespace(blackboard=None)))
     SCHEMA_PATH.write_bytes(schema_document(routes))
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
@@ -36,11 +36,11 @@
 """A forwarded request holds its body in base64 and its prompt beside it."""
 
 HttpRequest = Request[Any, Any, Any]
-T = TypeVar("T")
+MessageT = TypeVar("MessageT")
 
-_BODY_REFUSED_STATUS = 413
+_BODY_REJECTED_STATUS = 413
 """For a body that is too large for now or for ever, or that never arrives."""
-_LINES_HEADER: Header = (b"content-type", b"application/x-ndjson")
+_NDJSON_HEADER: Header = (b"content-type", b"application/x-ndjson")
 _JSON_HEADER: Header = (b"content-type", b"application/json")
 
 
@@ -62,78 +62,85 @@
     async def forward(self, request: HttpRequest) -> ASGIApp:
         """Run a forwarded request."""
 
-        async def answer(forwarded: CallerRequest) -> ASGIApp:
-            return self._respond(lambda writer: self._relay(forwarded, writer))
+        async def handle(forwarded: CallerRequest) -> ASGIApp:
+            return self._respond(lambda writer: self._stream_answer(forwarded, writer))
 
-        return await self._answer(request, CallerRequest, answer)
+        return await self._handle_call(request, CallerRequest, handle)
 
     async def outcome(self, request: HttpRequest) -> ASGIApp:
         """Tell what became of a request."""
 
-        async def answer(question: wire.OutcomeQuestion) -> ASGIApp:
+        async def handle(outcome_request: wire.OutcomeRequest) -> ASGIApp:
             pipeline = self._application.pipeline
-            outcome = await pipeline.outcome(question.workspace, question.request_id)
+            outcome = await pipeline.outcome(outcome_request.workspace, outcome_request.request_id)
             return self._reply(wire.encode_outcome(outcome))
 
-        return await self._answer(request, wire.OutcomeQuestion, answer)
+        return await self._handle_call(request, wire.OutcomeRequest, handle)
 
     async def recall(self, request: HttpRequest) -> ASGIApp:
         """Return unused tokens to the budget record."""
 
-        async def answer(wanted: wire.RecallRequest) -> ASGIApp:
-            reply = await self._application.allotments.recall(wanted.workspace, wanted.wanted)
+        async def handle(recall_request: wire.RecallRequest) -> ASGIApp:
+            reply = await self._application.allotments.recall(
+                recall_request.workspace, recall_request.wanted
+            )
             return self._reply(msgspec.json.encode(reply))
 
-        return await self._answer(request, wire.RecallRequest, answer)
+        return await self._handle_call(request, wire.RecallRequest, handle)
 
     async def hold(self, request: HttpRequest) -> ASGIApp:
         """Hold copies of journal entries."""
 
-        async def answer(wanted: HoldRequest) -> ASGIApp:
-            return self._reply(msgspec.json.encode(self._application.copies.hold(wanted)))
+        async def handle(hold_request: HoldRequest) -> ASGIApp:
+            return self._reply(msgspec.json.encode(self._application.copies.hold(hold_request)))
 
-        return await self._answer(request, HoldRequest, answer)
+        return await self._handle_call(request, HoldRequest, handle)
 
     async def collect(self, request: HttpRequest) -> ASGIApp:
         """Return the copies held of a closed incarnation."""
 
-        async def answer(wanted: CollectRequest) -> ASGIApp:
-            return self._reply(msgspec.json.encode(self._application.copies.collect(wanted)))
+        async def handle(collect_request: CollectRequest) -> ASGIApp:
+            return self._reply(
+                msgspec.json.encode(self._application.copies.collect(collect_request))
+            )
 
-        return await self._answer(request, CollectRequest, answer)
+        return await self._handle_call(request, CollectRequest, handle)
 
-    async def _answer(
-        self, request: HttpRequest, kind: type[T], answer: Callable[[T], Awaitable[ASGIApp]]
+    async def _handle_call(
+        self,
+        request: HttpRequest,
+        message_type: type[MessageT],
+        handle: Callable[[MessageT], Awaitable[ASGIApp]],
     ) -> ASGIApp:
         """Authenticate a call, read its message and answer it."""
-        value = request.headers.get(SIGNATURE_HEADER, "")
+        signature = request.headers.get(SIGNATURE_HEADER, "")
         now = self._application.clock.now().timestamp()
-        digest = self._signer.verify(value, "POST", request.scope["path"], now)
+        digest = self._signer.verify(signature, "POST", request.scope["path"], now)
         if not digest:
-            return self._refuse(401, "the call is not signed by a router of this fleet")
-        bounds = (self._max_body_bytes, self._body_timeout_seconds)
-        match await read_body(request, *bounds, self._bodies):
+            return self._reject(401, "the call is not signed by a router of this fleet")
+        limits = (self._max_body_bytes, self._body_timeout_seconds)
+        match await read_body(request, *limits, self._bodies):
             case Failure(failed):
-                return self._refuse(_BODY_REFUSED_STATUS, failed.detail)
+                return self._reject(_BODY_REJECTED_STATUS, failed.detail)
             case Success(body):
                 body.release()
         if body_digest(body.data) != digest:
-            return self._refuse(401, "the body is not the one that was signed")
+            return self._reject(401, "the body is not the one that was signed")
         try:
-            return await answer(msgspec.json.decode(body.data, type=kind))
+            return await handle(msgspec.json.decode(body.data, type=message_type))
         except msgspec.DecodeError as error:
-            return self._refuse(400, str(error))
+            return self._reject(400, str(error))
         except QuinceferryError as error:
-            return self._refuse(503, str(error))
+            return self._reject(503, str(error))
 
-    async def _relay(self, forwarded: CallerRequest, writer: ResponseWriter) -> None:
+    async def _stream_answer(self, forwarded: CallerRequest, writer: ResponseWriter) -> None:
         """Stream the answer's events, with empty lines while there are none."""
-        await writer.start(200, [_LINES_HEADER])
+        await writer.start(200, [_NDJSON_HEADER])
         await writer.write(wire.KEEP_ALIVE_LINE)
         keep_alive = asyncio.create_task(self._keep_alive(writer))
         try:
             events = self._application.pipeline.submit(forwarded)
-            await relay_events(events, PeerAnswer(writer, keep_alive))
+            await relay_events(events, PeerAnswerWriter(writer, keep_alive))
         finally:
             keep_alive.cancel()
 
@@ -147,7 +154,7 @@
         """Return a JSON response."""
         return self._respond(lambda writer: writer.respond(200, [_JSON_HEADER], body))
 
-    def _refuse(self, status: int, detail: str) -> ASGIApp:
+    def _reject(self, status: int, detail: str) -> ASGIApp:
         """Return an error response; a status below 500 says that the call was not begun."""
         return self._respond(lambda writer: writer.respond(status, [], detail.encode()))
 
@@ -156,7 +163,7 @@
         return RelayResponse(relay, self._write_timeout_seconds)
 
 
-class PeerAnswer:
+class PeerAnswerWriter:
     """Lines, one for each event; the last one ends the response.
 
     :param keep_alive: the task that writes empty lines.
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_client.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_client.py
@@ -24,14 +24,14 @@
 )
 from quinceferryd.signatures import SIGNATURE_HEADER, Signer
 
-SILENCE_TIMEOUT_SECONDS = 3 * KEEP_ALIVE_SECONDS
+READ_TIMEOUT_SECONDS = 3 * KEEP_ALIVE_SECONDS
 """A connection without a byte for so long is lost."""
 CONNECT_TIMEOUT_SECONDS = 2.0
 """Time to open a connection within the region."""
 CALL_TIMEOUT_SECONDS = 3.0
 """Time to answer a short call."""
 
-_IDLE_SECONDS = 10.0
+_IDLE_CONNECTION_SECONDS = 10.0
 _MAX_IDLE_CONNECTIONS = 4
 """Idle connections kept for each peer."""
 
@@ -46,7 +46,7 @@
     def __init__(self, fleet_secret: str, clock: Clock) -> None:
         self._signer = Signer(fleet_secret)
         self._clock = clock
-        transport = StreamingTransport(_IDLE_SECONDS, _MAX_IDLE_CONNECTIONS)
+        transport = StreamingTransport(_IDLE_CONNECTION_SECONDS, _MAX_IDLE_CONNECTIONS)
         self._http = httpx.AsyncClient(transport=transport, trust_env=False)
 
     async def aclose(self) -> None:
@@ -64,10 +64,10 @@
         :raises PeerNotBegunError: the peer did not begin the request.
         :raises PeerUnavailableError: the connection broke or went silent before the last event.
         """
-        ended = False
+        is_finished = False
         body = wire.encode_request(request)
-        timeout = httpx.Timeout(SILENCE_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS)
-        with _peer_errors("peer.forward", address):
+        timeout = httpx.Timeout(READ_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS)
+        with _translate_errors("peer.forward", address):
             async with self._http.stream(
                 "POST",
                 f"http://{address}{FORWARD_PATH}",
@@ -76,12 +76,12 @@
                 timeout=timeout,
             ) as response:
                 _check_status(response, "peer.forward", address)
-                async with aclosing(_lines(response.aiter_raw())) as lines:
+                async with aclosing(_split_lines(response.aiter_raw())) as lines:
                     async for line in lines:
                         event = wire.decode_event(line)
-                        ended = ended or not isinstance(event, Chunk)
+                        is_finished = is_finished or not isinstance(event, Chunk)
                         yield event
-        if not ended:
+        if not is_finished:
             raise PeerUnavailableError("answer ended early", step="peer.forward", peer=address)
 
     async def ask_outcome(
@@ -91,9 +91,9 @@
 
         :raises PeerUnavailableError: no answer came.
         """
-        question = msgspec.json.encode(wire.OutcomeQuestion(workspace, request_id))
-        with _peer_errors("peer.ask_outcome", address):
-            reply = await self._call(address, OUTCOME_PATH, question, "peer.ask_outcome")
+        body = msgspec.json.encode(wire.OutcomeRequest(workspace, request_id))
+        with _translate_errors("peer.ask_outcome", address):
+            reply = await self._post(address, OUTCOME_PATH, body, "peer.ask_outcome")
             return wire.decode_outcome(reply)
 
     async def recall(self, address: str, workspace: WorkspaceId, wanted: int) -> RecallReply:
@@ -102,8 +102,8 @@
         :raises PeerUnavailableError: no answer came; tokens may have been returned.
         """
         body = msgspec.json.encode(wire.RecallRequest(workspace, wanted))
-        with _peer_errors("peer.recall", address):
-            reply = await self._call(address, RECALL_PATH, body, "peer.recall")
+        with _translate_errors("peer.recall", address):
+            reply = await self._post(address, RECALL_PATH, body, "peer.recall")
             return msgspec.json.decode(reply, type=RecallReply)
 
     async def hold(self, address: str, request: HoldRequest) -> HoldReply:
@@ -112,8 +112,8 @@
         :raises PeerUnavailableError: no answer came; the copies may be held.
         """
         body = msgspec.json.encode(request)
-        with _peer_errors("peer.hold", address):
-            reply = await self._call(address, HOLD_PATH, body, "peer.hold")
+        with _translate_errors("peer.hold", address):
+            reply = await self._post(address, HOLD_PATH, body, "peer.hold")
             return msgspec.json.decode(reply, type=HoldReply)
 
     async def collect(self, address: str, request: CollectRequest) -> CollectReply:
@@ -122,11 +122,11 @@
         :raises PeerUnavailableError: no answer came.
         """
         body = msgspec.json.encode(request)
-        with _peer_errors("peer.collect", address):
-            reply = await self._call(address, COLLECT_PATH, body, "peer.collect")
+        with _translate_errors("peer.collect", address):
+            reply = await self._post(address, COLLECT_PATH, body, "peer.collect")
             return msgspec.json.decode(reply, type=CollectReply)
 
-    async def _call(self, address: str, path: str, body: bytes, step: str) -> bytes:
+    async def _post(self, address: str, path: str, body: bytes, step: str) -> bytes:
         """Make a short call and return the body of its reply."""
         response = await self._http.post(
             f"http://{address}{path}",
@@ -145,7 +145,7 @@
 
 
 @contextmanager
-def _peer_errors(step: str, address: str) -> Generator[None, None, None]:
+def _translate_errors(step: str, address: str) -> Generator[None, None, None]:
     """Turn errors of the HTTP library and of decoding into those of the exception tree."""
     try:
         yield
@@ -165,11 +165,11 @@
     raise PeerUnavailableError(detail, step=step, peer=address)
 
 
-async def _lines(pieces: AsyncIterator[bytes]) -> AsyncGenerator[bytes, None]:
+async def _split_lines(chunks: AsyncIterator[bytes]) -> AsyncGenerator[bytes, None]:
     """Split pieces of a body into its non-empty lines; a last line without an end is dropped."""
-    rest = b""
-    async for piece in pieces:
-        *lines, rest = (rest + piece).split(b"\n")
+    remainder = b""
+    async for chunk in chunks:
+        *lines, remainder = (remainder + chunk).split(b"\n")
         for line in lines:
             if line:
                 yield line
--- a/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/pipeline.py
@@ -28,13 +28,13 @@
 from quinceferryd.forwards import forward
 from quinceferryd.proofs import JournalProofs
 from quinceferryd.recording import NEVER_SENT, router_not_ready_refusal
-from quinceferryd.refusals import HOME_RETRY_SECONDS, home_failure
+from quinceferryd.refusals import HOME_ROUTER_RETRY_SECONDS, home_router_failure
 from quinceferryd.runs import RequestRun, RunStore
 
 _CIRCULAR_FORWARD = Failed(
     RefusalReason.BUDGET_UNREACHABLE,
     NEVER_SENT,
-    HOME_RETRY_SECONDS,
+    HOME_ROUTER_RETRY_SECONDS,
     "this router has asked others to run the request",
     step="forward",
 )
@@ -186,7 +186,7 @@
         if self._blackboard.state is RouterState.LEFT:
             detail = "the request was open when its router's stop reached its bound"
             return Failed(
-                RefusalReason.ROUTER_STOPPING, Unknown(), HOME_RETRY_SECONDS, detail, "stop"
+                RefusalReason.ROUTER_STOPPING, Unknown(), HOME_ROUTER_RETRY_SECONDS, detail, "stop"
             )
         detail = "the request was ended"
         return Failed(RefusalReason.INTERNAL, Unknown(), detail=detail)
@@ -238,7 +238,7 @@
                 return
             except PeerUnavailableError as error:
                 if has_output:
-                    yield home_failure(error, Unknown())
+                    yield home_router_failure(error, Unknown())
                     return
         async with aclosing(self._run(key, request)) as events:
             async for event in events:
@@ -267,7 +267,7 @@
                     yield event
         except PeerUnavailableError as error:
             # Even if this call did not reach the home router, an earlier one may have.
-            yield home_failure(error, Unknown())
+            yield home_router_failure(error, Unknown())
 
     async def _prove_outcome(self, request: CallerRequest, ticket: Ticket) -> Failed:
         """Return the failure of a non-idempotent request whose home router has stopped."""
@@ -275,7 +275,7 @@
         outcome = await self._proofs.outcome(ticket, key)
         if isinstance(outcome, NotRun):
             detail = "its home has left without running it; ask for a new address"
-            return Failed(RefusalReason.HOME_GONE, outcome, HOME_RETRY_SECONDS, detail)
+            return Failed(RefusalReason.HOME_GONE, outcome, HOME_ROUTER_RETRY_SECONDS, detail)
         detail = "its home is gone and may have run it"
         return Failed(RefusalReason.HOME_GONE, outcome, 0.0, detail)
 
--- a/packages/quinceferry-daemon/src/quinceferryd/refusals.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/refusals.py
@@ -48,7 +48,7 @@
 
 JSON_HEADER: Header = (b"content-type", b"application/json")
 
-HOME_RETRY_SECONDS = 2.0
+HOME_ROUTER_RETRY_SECONDS = 2.0
 """When to ask the home of a request again."""
 _NEVER_SENT = NotRun(NotRunProof.NEVER_SENT)
 _TYPES_BY_STATUS = {
@@ -94,25 +94,25 @@
     return Failed(reason, _NEVER_SENT, retry_after_seconds, detail)
 
 
-def quarantine_refusal(held_seconds: float) -> Failed:
+def quarantine_refusal(remaining_seconds: float) -> Failed:
     """Return the refusal of content that has crashed engines, until its quarantine ends."""
     detail = "the same content has crashed engines"
-    return refusal(RefusalReason.QUARANTINED, detail, held_seconds)
+    return refusal(RefusalReason.QUARANTINED, detail, remaining_seconds)
 
 
-def home_failure(error: PeerUnavailableError, outcome: Outcome) -> Failed:
+def home_router_failure(error: PeerUnavailableError, outcome: Outcome) -> Failed:
     """Return the failure of a request whose home cannot be reached."""
     return Failed(
         RefusalReason.HOME_GONE,
         outcome,
-        HOME_RETRY_SECONDS,
+        HOME_ROUTER_RETRY_SECONDS,
         str(error),
         step="forward",
         peer=error.peer,
     )
 
 
-def outcome_word(outcome: Outcome) -> str:
+def outcome_label(outcome: Outcome) -> str:
     """Return the word by which callers are told an outcome."""
     match outcome:
         case NotRun():
@@ -130,13 +130,13 @@
 
 def error_document(failed: Failed, request_id: str = "") -> bytes:
     """Return the JSON body of a refusal or failure."""
-    kind = _TYPES_BY_STATUS.get(error_status(failed), "server_error")
+    error_type = _TYPES_BY_STATUS.get(error_status(failed), "server_error")
     body = ErrorBody(
         message=failed.detail or failed.reason.value.replace("_", " "),
-        type=kind,
+        type=error_type,
         code=failed.reason.value,
         reason=failed.reason.value,
-        outcome=outcome_word(failed.outcome),
+        outcome=outcome_label(failed.outcome),
         request_id=request_id,
         proof=failed.outcome.proof.value if isinstance(failed.outcome, NotRun) else "",
         usage=failed.outcome.usage if isinstance(failed.outcome, Run) else None,
@@ -156,8 +156,8 @@
     if failed.retry_after_seconds > 0:
         seconds = str(math.ceil(failed.retry_after_seconds)).encode()
         headers.append((b"retry-after", seconds))
-    retry = isinstance(failed.outcome, NotRun) and failed.retry_after_seconds > 0
-    headers.append((b"x-should-retry", b"true" if retry else b"false"))
+    should_retry = isinstance(failed.outcome, NotRun) and failed.retry_after_seconds > 0
+    headers.append((b"x-should-retry", b"true" if should_retry else b"false"))
     if failed.reason is RefusalReason.UNAUTHENTICATED:
         headers.append((b"www-authenticate", b"Bearer"))
     return headers
--- a/packages/quinceferry-daemon/src/quinceferryd/wire.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/wire.py
@@ -83,7 +83,7 @@
     outcome: WireOutcome | None
 
 
-class OutcomeQuestion(msgspec.Struct, frozen=True):
+class OutcomeRequest(msgspec.Struct, frozen=True):
     """Asks what became of a request."""
 
     workspace: WorkspaceId
@@ -118,7 +118,7 @@
 
 def encode_event(event: AnswerEvent) -> bytes:
     """Encode one event as a line."""
-    return _encoder.encode(_wire_event(event)) + b"\n"
+    return _encoder.encode(_to_wire_event(event)) + b"\n"
 
 
 def decode_event(line: bytes) -> AnswerEvent:
@@ -129,22 +129,22 @@
     match _event_decoder.decode(line):
         case WireChunk() as chunk:
             return Chunk(chunk.offset, chunk.tokens, chunk.text, chunk.data)
-        case WireFinished() as end:
-            return Finished(end.usage, end.reason, end.status, end.content_type)
-        case WireFailed() as end:
+        case WireFinished() as finished:
+            return Finished(finished.usage, finished.reason, finished.status, finished.content_type)
+        case WireFailed() as failed:
             return Failed(
-                end.reason,
-                _core_outcome(end.outcome),
-                end.retry_after_seconds,
-                end.detail,
-                end.step,
-                end.peer,
+                failed.reason,
+                _from_wire_outcome(failed.outcome),
+                failed.retry_after_seconds,
+                failed.detail,
+                failed.step,
+                failed.peer,
             )
 
 
 def encode_outcome(outcome: Outcome | None) -> bytes:
     """Encode what became of a request."""
-    return _encoder.encode(OutcomeReply(None if outcome is None else _wire_outcome(outcome)))
+    return _encoder.encode(OutcomeReply(None if outcome is None else _to_wire_outcome(outcome)))
 
 
 def decode_outcome(document: bytes) -> Outcome | None:
@@ -153,10 +153,10 @@
     :raises msgspec.DecodeError: the document is malformed.
     """
     reply = _outcome_decoder.decode(document)
-    return None if reply.outcome is None else _core_outcome(reply.outcome)
+    return None if reply.outcome is None else _from_wire_outcome(reply.outcome)
 
 
-def _wire_event(event: AnswerEvent) -> WireEvent:
+def _to_wire_event(event: AnswerEvent) -> WireEvent:
     """Return the wire form of an event."""
     match event:
         case Chunk():
@@ -166,7 +166,7 @@
         case Failed():
             return WireFailed(
                 event.reason,
-                _wire_outcome(event.outcome),
+                _to_wire_outcome(event.outcome),
                 event.retry_after_seconds,
                 event.detail,
                 event.step,
@@ -176,7 +176,7 @@
             assert_never(event)
 
 
-def _wire_outcome(outcome: Outcome) -> WireOutcome:
+def _to_wire_outcome(outcome: Outcome) -> WireOutcome:
     """Return the wire form of an outcome."""
     match outcome:
         case NotRun():
@@ -189,7 +189,7 @@
             assert_never(outcome)
 
 
-def _core_outcome(outcome: WireOutcome) -> Outcome:
+def _from_wire_outcome(outcome: WireOutcome) -> Outcome:
     """Return the outcome of a wire form."""
     match outcome:
         case WireNotRun():
--- a/packages/quinceferry-lab/src/quinceferry_lab/network_peers.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/network_peers.py
@@ -16,7 +16,7 @@
 from quinceferryd import wire
 from quinceferryd.interfaces import RouterApplication
 from quinceferryd.peer_api import KEEP_ALIVE_SECONDS
-from quinceferryd.peer_client import CALL_TIMEOUT_SECONDS, SILENCE_TIMEOUT_SECONDS
+from quinceferryd.peer_client import CALL_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
 
 T = TypeVar("T")
 
@@ -100,7 +100,7 @@
     async def _next(self, items: AsyncIterator[Item], address: str) -> Item:
         """Return the next item within the silence timeout."""
         try:
-            async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
+            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 return await anext(items)
         except (TimeoutError, ConnectionBrokenError, StopAsyncIteration) as error:
             raise PeerUnavailableError(repr(error), step="peer.forward", peer=address) from error
--- a/packages/quinceferry-lab/src/quinceferry_lab/operators.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/operators.py
@@ -16,7 +16,7 @@
 from quinceferry_lab.histories import Accepted, Removal, TopUp
 from quinceferry_lab.processes import RouterProcess
 from quinceferryd.blackboard import RouterState
-from quinceferryd.operator_changes import builder_of, fingerprint_of
+from quinceferryd.operator_changes import change_builder, message_fingerprint
 from quinceferryd.operators import OperatorService
 
 T = TypeVar("T")
@@ -125,10 +125,10 @@
 
         async def work(process: RouterProcess) -> bool:
             changed = await _service(process).propose(
-                builder_of(message),
+                change_builder(message),
                 process.application.blackboard.configuration.revision,
                 OperationId(message.operation_id),
-                fingerprint_of(message),
+                message_fingerprint(message),
             )
             if isinstance(changed, Success):
                 self._note_accepted(changed.unwrap())
