--- a/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
@@ -1,4 +1,4 @@
-"""HTTP interface for operators: one path for each call, described by the committed schema."""
+"""HTTP API for operators: one path per call, described by the committed OpenAPI schema."""
 
 from collections.abc import Callable
 from importlib.resources import files
@@ -40,15 +40,15 @@
 )
 
 SCHEMA_FILE = "operator-schema.json"
-"""Name of the committed schema, beside this module."""
+"""File name of the committed OpenAPI schema, in the directory of this module."""
 
 _FAILURE_STATUSES = (400, 401, 404, 409, 503)
 
 
 class OperatorApi:
-    """Handles the calls of operators.
+    """Handle the calls of operators.
 
-    :param application: the router.
+    :param application: the router application that the calls act on.
     """
 
     def __init__(self, application: OperatorApplication) -> None:
@@ -56,7 +56,7 @@
         self._blackboard = application.blackboard
 
     async def change_configuration(self, data: messages.Change) -> replies.ChangeReply:
-        """Change the configuration."""
+        """Append a change to the configuration log, once per operation id."""
         self._check_ready()
         result = await self._application.operators.propose(
             change_builder(data),
@@ -72,7 +72,7 @@
         raise AssertionError("a result is a success or a failure")
 
     async def get_change(self, data: messages.GetChange) -> replies.ChangeReply:
-        """Tell how far a change has come."""
+        """Return the progress of a configuration change."""
         self._check_ready()
         operation = OperationId(data.operation_id)
         status = await self._application.operators.status_of_operation(operation)
@@ -99,18 +99,18 @@
         raise AssertionError("a result is a success or a failure")
 
     async def get_balance(self, data: messages.GetBalance) -> replies.BalanceReply:
-        """Read the budget of a workspace."""
+        """Return the balance of a workspace."""
         workspace = self._require_workspace(data.workspace)
         return balance_reply(await self._application.budgets.balance(workspace))
 
     async def list_bills(self, data: messages.ListBills) -> replies.ListBillsReply:
-        """Read a page of the bills of a workspace."""
+        """Return a page of the bills of a workspace."""
         workspace = self._require_workspace(data.workspace)
         page = await self._application.budgets.bills(workspace, data.cursor)
         return bills_reply(workspace, page)
 
     async def get_status(self, data: messages.GetStatus) -> replies.StatusReply:
-        """Tell the state of this router, in any of its states."""
+        """Return the status of this router; available in every router state."""
         return status_reply(self._blackboard, self._application.pipeline.open_requests)
 
     async def list_routers(self, data: messages.ListRouters) -> replies.ListRoutersReply:
@@ -121,7 +121,7 @@
         return replies.ListRoutersReply(routers=routers)
 
     async def drain(self, data: messages.Drain) -> replies.DrainReply:
-        """Stop a router gracefully."""
+        """Order a router to stop gracefully."""
         self._check_applied(data)
         result = await self._application.operators.drain(
             IncarnationId(data.router), OperationId(data.operation_id)
@@ -136,7 +136,7 @@
         raise AssertionError("a result is a success or a failure")
 
     async def declare_gone(self, data: messages.DeclareGone) -> replies.DeclareGoneReply:
-        """Take the operator's word that a router's process has ended."""
+        """Record the operator's declaration that a router's process has terminated."""
         self._check_applied(data)
         result = await self._application.operators.declare_gone(IncarnationId(data.router))
         match result:
@@ -149,17 +149,17 @@
         raise AssertionError("a result is a success or a failure")
 
     def is_authorized(self, authorization: str) -> bool:
-        """Return whether an ``Authorization`` header carries the operators' key."""
+        """Return whether an ``Authorization`` header carries the operator key."""
         return matches_key(authorization, self._application.settings.router.operator_key)
 
     def _check_ready(self) -> None:
-        """Refuse a call before this router has joined, when it knows nothing of the fleet."""
+        """Reject a call before this router has joined the fleet and learned its members."""
         if self._blackboard.state is RouterState.STARTING:
             detail = "this router has not joined the fleet yet"
             raise call_failure("router_not_ready", detail, retry_after_seconds=RETRY_AFTER_SECONDS)
 
     def _check_applied(self, data: messages.Change) -> None:
-        """Refuse a change when this router has not yet applied the revision it builds on."""
+        """Reject a change if this router has not yet applied the revision the change expects."""
         self._check_ready()
         applied = self._blackboard.configuration.revision
         if applied < data.expected_revision:
@@ -171,7 +171,7 @@
             )
 
     def _require_workspace(self, name: str) -> WorkspaceId:
-        """Return the identifier of a workspace that exists."""
+        """Return the identifier of a workspace; reject the call if it does not exist."""
         self._check_ready()
         workspace = WorkspaceId(name)
         if workspace not in self._blackboard.configuration.workspaces_by_id:
@@ -180,9 +180,9 @@
 
 
 def build_operator_routes(application: OperatorApplication) -> list[Router]:
-    """Return the operators' routes of a router.
+    """Return the routes of the operator API.
 
-    :param application: the router.
+    :param application: the router application that the calls act on.
     """
     api = OperatorApi(application)
     handlers = [
@@ -203,9 +203,10 @@
 
 
 def _build_guard(api: OperatorApi) -> Guard:
-    """Return what refuses calls without the operators' key.
+    """Return a guard that rejects calls without the operator key.
 
-    It is a function and no bound method, because litestar copies guards with all they hold.
+    The guard is a function rather than a bound method because litestar copies guards, and a
+    copy of a bound method would include the whole application.
     """
 
     async def authenticate(connection: ASGIConnection[Any, Any, Any, Any], _: Any) -> None:
@@ -217,13 +218,13 @@
 
 @get("/schema.json", include_in_schema=False)
 async def _serve_schema() -> Response[bytes]:
-    """Serve the committed schema; it is read when asked for, so that it holds no memory."""
+    """Serve the committed schema; read it on each request rather than keep it in memory."""
     document = files(__package__).joinpath(SCHEMA_FILE).read_bytes()
     return Response(document, media_type="application/json")
 
 
 def _api_method(api: OperatorApi, message_type: type[messages.Message]) -> Callable[..., Any]:
-    """Return what handles a call."""
+    """Return the method that handles a message type; by default ``change_configuration``."""
     methods_by_message: dict[type[messages.Message], Callable[..., Any]] = {
         messages.GetChange: api.get_change,
         messages.TopUp: api.top_up,
@@ -240,7 +241,7 @@
 def _build_handler(
     message_type: type[messages.Message], method: Callable[..., Any]
 ) -> BaseRouteHandler:
-    """Return the route handler of one call, typed with its own message and reply."""
+    """Return the route handler of one call, annotated with its message and reply types."""
 
     async def handle(data: Any) -> Any:
         return await method(data)
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_changes.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_changes.py
@@ -1,4 +1,4 @@
-"""Derives configuration changes from the messages of operators."""
+"""Derive configuration changes from operator messages."""
 
 import hashlib
 from dataclasses import replace
@@ -30,12 +30,13 @@
 )
 
 BuildResult = Result[ConfigurationChange, str]
+"""A configuration change, or the reason why the message cannot be applied."""
 
 
 def change_builder(message: messages.Change) -> ChangeBuilder:
-    """Return what derives the change from the newest configuration.
+    """Return a function that derives the change from the latest configuration.
 
-    :param message: a message that changes the configuration.
+    :param message: a message that changes the configuration; for others the function fails.
     """
 
     def build(configuration: Configuration) -> BuildResult:
@@ -59,9 +60,9 @@
 
 
 def message_fingerprint(message: messages.Change) -> str:
-    """Return a digest of what a message asks for.
+    """Return a SHA-256 digest of the type and fields of a message.
 
-    The expected revision is left out: a repeat may have read a newer one.
+    The expected revision is excluded, since a retry may expect a newer one.
     """
     document = msgspec.json.encode(msgspec.structs.replace(message, expected_revision=0))
     return hashlib.sha256(type(message).__name__.encode() + document).hexdigest()
@@ -70,7 +71,7 @@
 def _create_workspace(
     message: messages.CreateWorkspace, configuration: Configuration
 ) -> BuildResult:
-    """Return a new workspace."""
+    """Return the change that creates a workspace."""
     if message.workspace in configuration.workspaces_by_id:
         return Failure(f"workspace {message.workspace} exists already")
     limits = Limits(
@@ -90,7 +91,7 @@
 def _update_workspace(
     message: messages.UpdateWorkspace, configuration: Configuration
 ) -> BuildResult:
-    """Return a workspace with the given fields replaced."""
+    """Return the change that replaces the given fields of a workspace."""
     spec = configuration.workspaces_by_id.get(WorkspaceId(message.workspace))
     if spec is None:
         return Failure(f"workspace {message.workspace} does not exist")
@@ -109,7 +110,7 @@
 
 
 def _rotate_key(message: messages.RotateWorkspaceKey, configuration: Configuration) -> BuildResult:
-    """Return a workspace with a new key, and its newest previous one if that stays."""
+    """Return the change that sets a new key and, if requested, keeps the latest previous one."""
     spec = configuration.workspaces_by_id.get(WorkspaceId(message.workspace))
     if spec is None:
         return Failure(f"workspace {message.workspace} does not exist")
@@ -119,7 +120,7 @@
 
 
 def _register_model(message: messages.RegisterModel) -> BuildResult:
-    """Return a model."""
+    """Return the change that registers a model."""
     if message.default_output_tokens > message.max_output_tokens:
         return Failure("default_output_tokens is above max_output_tokens")
     spec = ModelSpec(
@@ -132,7 +133,7 @@
 
 
 def _register_upstream(message: messages.RegisterUpstream) -> BuildResult:
-    """Return an upstream."""
+    """Return the change that registers an upstream."""
     kind = UpstreamKind(message.kind)
     if (kind is UpstreamKind.SERVICE) != bool(message.service):
         return Failure("a plain service needs the field service, and a model engine must lack it")
@@ -150,7 +151,7 @@
 
 
 def _validate_workspace(spec: WorkspaceSpec, configuration: Configuration) -> BuildResult:
-    """Refuse a workspace with an unregistered model or with another workspace's key."""
+    """Reject a workspace with an unregistered model or with a key of another workspace."""
     for model in spec.models:
         if model.model not in configuration.models_by_name:
             return Failure(f"model {model.model} is not registered")
@@ -161,7 +162,7 @@
 
 
 def _parse_models(names: list[str]) -> tuple[ModelRef, ...]:
-    """Read the text forms of models."""
+    """Parse model names into references."""
     return tuple(ModelRef.parse(name) for name in names)
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_failures.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_failures.py
@@ -1,4 +1,4 @@
-"""Failures of operator calls and their HTTP form."""
+"""Failures of operator calls and the HTTP responses for them."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 from quinceferry_core.operator_replies import OperatorFailure
 
 RETRY_AFTER_SECONDS = 1.0
-"""When to repeat a call that met an unavailable service."""
+"""Delay before a retry that is suggested to callers when a service is unavailable."""
 
 STATUS_BY_CODE = {
     "malformed": 400,
@@ -36,9 +36,9 @@
 
 
 class OperatorCallError(Exception):
-    """Ends an operator call with a failure.
+    """Raised to end an operator call with a failure.
 
-    :param failure: what the operator is told.
+    :param failure: body of the response.
     """
 
     def __init__(self, failure: OperatorFailure) -> None:
@@ -47,16 +47,17 @@
 
 
 def call_failure(code: str, detail: str, **fields: Any) -> OperatorCallError:
-    """Return the error that ends a call.
+    """Return an error to raise from an operator call.
 
     :param code: a key of ``STATUS_BY_CODE``.
-    :param fields: further fields of the failure.
+    :param detail: human-readable explanation.
+    :param fields: further fields of :class:`OperatorFailure`.
     """
     return OperatorCallError(OperatorFailure(code=code, detail=detail, **fields))
 
 
 def conflict_failure(conflict: ConfigurationConflict) -> OperatorCallError:
-    """Return the error of a change that was not made."""
+    """Return the error for a rejected configuration change."""
     return call_failure(
         _CODES_BY_REASON[conflict.reason],
         conflict.detail,
@@ -68,16 +69,16 @@
 def on_call_failure(
     _request: Request[Any, Any, Any], error: OperatorCallError
 ) -> Response[OperatorFailure]:
-    """Answer a call that was refused."""
+    """Respond to a rejected call."""
     return _respond(error.failure)
 
 
 def on_unavailable(
     _request: Request[Any, Any, Any], error: QuinceferryError
 ) -> Response[OperatorFailure]:
-    """Answer a call during which another service did not answer.
+    """Respond to a call that failed because another service was unavailable.
 
-    A change may have been made; a repeat with the same operation id tells.
+    The change may have been made; a retry with the same operation id returns its outcome.
     """
     failure = OperatorFailure(
         code="unavailable",
@@ -92,21 +93,21 @@
 def on_http_error(
     _request: Request[Any, Any, Any], error: HTTPException
 ) -> Response[OperatorFailure]:
-    """Answer a call that never reached its handler."""
+    """Respond to a call that was rejected before its handler ran."""
     code = _CODES_BY_STATUS.get(error.status_code, "malformed")
     failure = OperatorFailure(code=code, detail=_error_detail(error), step="operator_api.read")
     return _respond(failure)
 
 
 def _error_detail(error: HTTPException) -> str:
-    """Return the detail of an error, with each faulty field."""
+    """Return the validation errors of the fields, or the general detail if there are none."""
     extra = error.extra if isinstance(error.extra, list) else []
     field_errors = [f"{item.get('key', 'body')}: {item.get('message', '')}" for item in extra]
     return "; ".join(field_errors) or error.detail
 
 
 def _respond(failure: OperatorFailure) -> Response[OperatorFailure]:
-    """Return the response to a failed call."""
+    """Return the HTTP response for a failure."""
     headers = {}
     if failure.retry_after_seconds:
         headers["Retry-After"] = str(max(1, round(failure.retry_after_seconds)))
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_interfaces.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_interfaces.py
@@ -1,4 +1,4 @@
-"""What the operators' interface needs of the application."""
+"""Protocols of the components that the operator API depends on."""
 
 from typing import Protocol
 
@@ -14,7 +14,7 @@
 
 
 class OperatorService(Protocol):
-    """What the calls need of the fleet."""
+    """Configuration changes and router lifecycle, as used by the operator API."""
 
     async def propose(
         self,
@@ -23,46 +23,46 @@
         operation_id: OperationId,
         fingerprint: str = "",
     ) -> Result[ChangeStatus, ConfigurationConflict]:
-        """Enter a change into the configuration, once for each operation id.
+        """Append a change to the configuration log, once per operation id.
 
-        :raises QuinceferryError: it is not known whether it was entered.
+        :raises QuinceferryError: it is unknown whether the change was appended.
         """
 
     async def status_of_operation(self, operation_id: OperationId) -> ChangeStatus | None:
-        """Return how far a change has come; None when it was never entered."""
+        """Return the progress of a change, or None if it was never appended to the log."""
 
     async def drain(
         self, incarnation: IncarnationId, operation_id: OperationId
     ) -> Result[Member, str]:
-        """Have a router stop gracefully."""
+        """Order a router to stop gracefully."""
 
     async def declare_gone(self, incarnation: IncarnationId) -> Result[IncarnationRecord, str]:
-        """Record that a router's process has ended, on the operator's word."""
+        """Record the operator's declaration that a router's process has terminated."""
 
 
 class BudgetService(Protocol):
-    """What the calls need of budgets."""
+    """Budgets and bills of workspaces, as used by the operator API."""
 
     async def top_up(
         self, workspace: WorkspaceId, tokens: int, operation: OperationId
     ) -> Result[Balance, TopUpRejected]:
-        """Grant tokens, once for each operation id."""
+        """Add prepaid tokens to a workspace, once per operation id."""
 
     async def balance(self, workspace: WorkspaceId) -> Balance:
-        """Read a workspace's balance."""
+        """Return the balance of a workspace."""
 
     async def bills(self, workspace: WorkspaceId, cursor: str = "") -> BillPage:
-        """Read a page of a workspace's bills."""
+        """Return a page of the bills of a workspace."""
 
 
 class RequestCounter(Protocol):
-    """Counts the requests in progress at this router."""
+    """Provides the number of requests in progress at this router."""
 
     open_requests: int
 
 
 class OperatorApplication(Protocol):
-    """One router, seen from its operators' interface."""
+    """The parts of the router application that the operator API uses."""
 
     settings: Settings
     blackboard: Blackboard
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_schema.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_schema.py
@@ -1,6 +1,7 @@
-"""Writes the operators' schema from the routes themselves.
+"""Generate the OpenAPI schema of the operator API from its routes.
 
-Run ``python -m quinceferryd.operator_schema`` after a change of the messages, and commit the file.
+Run ``python -m quinceferryd.operator_schema`` after changing the messages or replies, and commit
+the generated file.
 """
 
 from pathlib import Path
@@ -16,15 +17,15 @@
 from quinceferryd.operator_interfaces import OperatorApplication
 
 SCHEMA_PATH = Path(__file__).with_name(SCHEMA_FILE)
-"""Where the committed schema is."""
+"""Path of the committed schema."""
 
 _SECURITY_SCHEME_NAME = "operatorKey"
 
 
 def schema_document(routes: list[Any]) -> bytes:
-    """Return the OpenAPI 3.1 document of the operators' routes.
+    """Return the OpenAPI 3.1 document of the operator API as JSON.
 
-    :param routes: what ``build_operator_routes`` returned.
+    :param routes: routes as returned by ``build_operator_routes``.
     """
     scheme = SecurityScheme(type="http", scheme="bearer", description="The operators' key.")
     config = OpenAPIConfig(
@@ -43,7 +44,7 @@
 
 
 def main() -> None:
-    """Write the committed schema."""
+    """Write the schema to ``SCHEMA_PATH``."""
     routes = build_operator_routes(cast(OperatorApplication, SimpleNamespace(blackboard=None)))
     SCHEMA_PATH.write_bytes(schema_document(routes))
 
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_views.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_views.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a router, of budgets and of bills."""
+"""Convert the state of routers, changes, budgets and bills into operator replies."""
 
 import os
 
@@ -14,9 +14,9 @@
 
 
 def status_reply(blackboard: Blackboard, open_requests: int) -> replies.StatusReply:
-    """Return the state of this router.
+    """Return the status of this router.
 
-    :param open_requests: requests in progress here.
+    :param open_requests: number of requests in progress at this router.
     """
     identity = blackboard.identity
     configuration = blackboard.configuration
@@ -41,7 +41,7 @@
 
 
 def router_reply(member: Member) -> replies.RouterReply:
-    """Return one router of the fleet."""
+    """Return the listing entry of a router of the fleet."""
     return replies.RouterReply(
         router=member.incarnation,
         vm=member.vm,
@@ -54,7 +54,7 @@
 
 
 def change_reply(operation_id: str, status: ChangeStatus) -> replies.ChangeReply:
-    """Return how far a change has come."""
+    """Return the progress of a configuration change."""
     return replies.ChangeReply(
         operation_id=operation_id,
         revision=status.revision,
@@ -72,7 +72,7 @@
 
 
 def balance_reply(balance: Balance) -> replies.BalanceReply:
-    """Return the budget of a workspace."""
+    """Return the balance of a workspace."""
     return replies.BalanceReply(
         workspace=balance.workspace,
         granted=balance.granted,
@@ -84,7 +84,7 @@
 
 
 def bills_reply(workspace: WorkspaceId, page: BillPage) -> replies.ListBillsReply:
-    """Return a page of bills."""
+    """Return a page of the bills of a workspace."""
     bills = [
         replies.BillReply(
             request_id=bill.request,
@@ -99,7 +99,7 @@
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process; zero where the system does not tell."""
+    """Return the resident memory of this process in bytes, or 0 if ``/proc`` is unavailable."""
     try:
         with open(_MEMORY_FILE) as file:
             fields = file.read().split()
@@ -109,7 +109,7 @@
 
 
 def _upstream_reply(spec: UpstreamSpec, status: UpstreamStatus) -> replies.UpstreamReply:
-    """Return what this router knows of an upstream."""
+    """Return the status of an upstream as this router has observed it."""
     report = status.report
     return replies.UpstreamReply(
         upstream=spec.id,
--- a/packages/quinceferry-daemon/src/quinceferryd/operators.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of the fleet: changes of the configuration and planned stops."""
+"""Operations on the fleet: configuration changes and planned stops of routers."""
 
 from dataclasses import replace
 
@@ -17,11 +17,11 @@
 
 
 class OperatorService:
-    """Carries out operators' calls, each at most once for an operation id.
+    """Execute operator calls, each at most once per operation id.
 
-    :param blackboard: shared state.
-    :param kv: the key-value service.
-    :param configuration: owner of the configuration log.
+    :param blackboard: state shared by the components of this router.
+    :param kv: the key-value store.
+    :param configuration: controller of the configuration log.
     """
 
     def __init__(
@@ -38,20 +38,20 @@
         operation_id: OperationId,
         fingerprint: str = "",
     ) -> Result[ChangeStatus, ConfigurationConflict]:
-        """Enter a change into the configuration, once for each operation id.
+        """Append a change to the configuration log, once per operation id.
 
-        :raises KvUnavailableError: it is not known whether it was entered.
+        :raises KvUnavailableError: it is unknown whether the change was appended.
         """
         return await self._configuration.propose(
             change, expected_revision, operation_id, fingerprint
         )
 
     async def status(self, revision: int) -> ChangeStatus:
-        """Return how far a revision has come, and which routers are awaited."""
+        """Return the progress of a revision and the routers that are still awaited."""
         return await self._configuration.status(revision)
 
     async def status_of_operation(self, operation_id: OperationId) -> ChangeStatus | None:
-        """Return how far a change has come; None when it was never entered."""
+        """Return the progress of a change, or None if it was never appended to the log."""
         return await self._configuration.status_of_operation(operation_id)
 
     def routers(self) -> tuple[Member, ...]:
@@ -62,14 +62,14 @@
     async def drain(
         self, incarnation: IncarnationId, operation_id: OperationId
     ) -> Result[Member, str]:
-        """Have a router stop gracefully; repeating the order changes nothing.
+        """Order a router to stop gracefully; the operation is idempotent.
 
-        Progress shows in the heartbeat record, which ends with the router.
+        The heartbeat record shows the progress; it disappears when the router stops.
 
         :param incarnation: the router to stop.
-        :param operation_id: names the order.
-        :return: its heartbeat record now, or why there is none.
-        :raises KvUnavailableError: it is not known whether the order was given.
+        :param operation_id: identifier of the order.
+        :return: the router's current heartbeat record, or the reason why there is none.
+        :raises KvUnavailableError: it is unknown whether the order was stored.
         """
         member = self._blackboard.members_by_incarnation.get(incarnation)
         if member is None:
@@ -78,19 +78,19 @@
         try:
             await self._kv.put_if(build_drain_key(incarnation), order, ABSENT_VERSION)
         except KvConflictError:
-            # An order stands already; its router stops, whoever gave it.
+            # An earlier order exists; the router stops, whichever operation requested it.
             return Success(member)
         return Success(member)
 
     async def declare_gone(self, incarnation: IncarnationId) -> Result[IncarnationRecord, str]:
-        """Record that a router's process has ended, on the operator's word.
+        """Record the operator's declaration that a router's process has terminated.
 
-        For a VM that never appeared in the VM list there is no other proof. The word must be true:
-        what the router held is freed by it.
+        There is no other proof if the router's VM never appeared in the VM list. The declaration
+        must be true, because it releases everything that the router held.
 
-        :param incarnation: the router that has ended.
-        :return: its record, or why it cannot be declared gone.
-        :raises KvUnavailableError: it is not known whether it was recorded.
+        :param incarnation: the router that has terminated.
+        :return: its incarnation record, or the reason why it cannot be declared gone.
+        :raises KvUnavailableError: it is unknown whether the declaration was recorded.
         """
         if incarnation in self._blackboard.members_by_incarnation:
             return Failure(f"router {incarnation} has a live lease")
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
@@ -1,4 +1,4 @@
-"""HTTP interface for other routers of the fleet; every call is signed with the fleet secret."""
+"""HTTP API for other routers of the fleet; every call is signed with the fleet secret."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,33 +21,36 @@
 from quinceferryd.signatures import SIGNATURE_HEADER, Signer, body_digest
 
 FORWARD_PATH = "/peer/v1/forward"
-"""Runs a request and streams its answer."""
+"""Path of the call that runs a request and streams its answer."""
 OUTCOME_PATH = "/peer/v1/outcome"
-"""Tells what became of a request."""
+"""Path of the call that returns the outcome of a request."""
 RECALL_PATH = "/peer/v1/recall"
-"""Returns unused tokens."""
+"""Path of the call that returns unused tokens to the budget record."""
 HOLD_PATH = "/peer/v1/hold"
-"""Holds copies of journal entries."""
+"""Path of the call that stores copies of journal entries."""
 COLLECT_PATH = "/peer/v1/collect"
-"""Returns the copies held of a closed incarnation."""
+"""Path of the call that returns the copies held of a closed incarnation."""
 KEEP_ALIVE_SECONDS = 3.0
-"""Interval of empty lines on an answer that is silent."""
+"""Interval of the empty lines sent to keep an answer's connection alive."""
 MAX_PEER_BODY_FACTOR = 4
-"""A forwarded request holds its body in base64 and its prompt beside it."""
+"""Limit of a peer call's body, as a multiple of the limit for callers.
+
+A forwarded request carries the caller's body in base64 and the prompt in addition.
+"""
 
 HttpRequest = Request[Any, Any, Any]
 MessageT = TypeVar("MessageT")
 
 _BODY_REJECTED_STATUS = 413
-"""For a body that is too large for now or for ever, or that never arrives."""
+"""Status for a body that exceeds the size limit or the free memory, or that times out."""
 _NDJSON_HEADER: Header = (b"content-type", b"application/x-ndjson")
 _JSON_HEADER: Header = (b"content-type", b"application/json")
 
 
 class PeerApi:
-    """Handles calls of other routers.
+    """Handle the calls of other routers.
 
-    :param application: the router.
+    :param application: the router application that the calls act on.
     """
 
     def __init__(self, application: RouterApplication) -> None:
@@ -60,7 +63,7 @@
         self._write_timeout_seconds = settings.streams.reader_timeout_seconds
 
     async def forward(self, request: HttpRequest) -> ASGIApp:
-        """Run a forwarded request."""
+        """Run a forwarded request and stream its answer."""
 
         async def handle(forwarded: CallerRequest) -> ASGIApp:
             return self._respond(lambda writer: self._stream_answer(forwarded, writer))
@@ -68,7 +71,7 @@
         return await self._handle_call(request, CallerRequest, handle)
 
     async def outcome(self, request: HttpRequest) -> ASGIApp:
-        """Tell what became of a request."""
+        """Return the outcome of a request."""
 
         async def handle(outcome_request: wire.OutcomeRequest) -> ASGIApp:
             pipeline = self._application.pipeline
@@ -89,7 +92,7 @@
         return await self._handle_call(request, wire.RecallRequest, handle)
 
     async def hold(self, request: HttpRequest) -> ASGIApp:
-        """Hold copies of journal entries."""
+        """Store copies of journal entries."""
 
         async def handle(hold_request: HoldRequest) -> ASGIApp:
             return self._reply(msgspec.json.encode(self._application.copies.hold(hold_request)))
@@ -112,7 +115,7 @@
         message_type: type[MessageT],
         handle: Callable[[MessageT], Awaitable[ASGIApp]],
     ) -> ASGIApp:
-        """Authenticate a call, read its message and answer it."""
+        """Authenticate a call, decode its message and pass it to ``handle``."""
         signature = request.headers.get(SIGNATURE_HEADER, "")
         now = self._application.clock.now().timestamp()
         digest = self._signer.verify(signature, "POST", request.scope["path"], now)
@@ -134,7 +137,7 @@
             return self._reject(503, str(error))
 
     async def _stream_answer(self, forwarded: CallerRequest, writer: ResponseWriter) -> None:
-        """Stream the answer's events, with empty lines while there are none."""
+        """Stream the events of an answer, with empty lines as keep-alives."""
         await writer.start(200, [_NDJSON_HEADER])
         await writer.write(wire.KEEP_ALIVE_LINE)
         keep_alive = asyncio.create_task(self._keep_alive(writer))
@@ -145,7 +148,7 @@
             keep_alive.cancel()
 
     async def _keep_alive(self, writer: ResponseWriter) -> None:
-        """Write an empty line at each interval, so that the peer can tell silence from loss."""
+        """Write empty lines so that the peer can distinguish an idle connection from a lost one."""
         while True:
             await self._application.clock.sleep(KEEP_ALIVE_SECONDS)
             await writer.write(wire.KEEP_ALIVE_LINE)
@@ -155,17 +158,18 @@
         return self._respond(lambda writer: writer.respond(200, [_JSON_HEADER], body))
 
     def _reject(self, status: int, detail: str) -> ASGIApp:
-        """Return an error response; a status below 500 says that the call was not begun."""
+        """Return an error response; a status below 500 means that the call was not begun."""
         return self._respond(lambda writer: writer.respond(status, [], detail.encode()))
 
     def _respond(self, relay: Relay) -> ASGIApp:
-        """Return a response written by a coroutine."""
+        """Return a response that a coroutine writes."""
         return RelayResponse(relay, self._write_timeout_seconds)
 
 
 class PeerAnswerWriter:
-    """Lines, one for each event; the last one ends the response.
+    """Write each event of an answer as one line; the last event ends the response.
 
+    :param writer: writer of the response.
     :param keep_alive: the task that writes empty lines.
     """
 
@@ -174,25 +178,25 @@
         self._keep_alive = keep_alive
 
     async def write_chunk(self, chunk: Chunk) -> None:
-        """Write a piece of the answer."""
+        """Write a chunk of the answer."""
         await self._writer.write(wire.encode_event(chunk))
 
     async def finish(self, finished: Finished) -> None:
-        """Write the end of a whole answer."""
+        """Write the final event of a complete answer."""
         await self._end(finished)
 
     async def fail(self, failed: Failed) -> None:
-        """Write a refusal or failure."""
+        """Write a refusal or failure as the final event."""
         await self._end(failed)
 
     async def _end(self, event: AnswerEvent) -> None:
-        """Write the last line."""
+        """Stop the keep-alives and write the final line."""
         self._keep_alive.cancel()
         await self._writer.finish(wire.encode_event(event))
 
 
 def peer_routes() -> Router:
-    """Return the routes for peers; they use the ``peer_api`` of the server's state."""
+    """Return the routes of the peer API; they use ``peer_api`` from the application state."""
     return Router("", route_handlers=[_forward, _outcome, _recall, _hold, _collect])
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_client.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls to other routers over HTTP."""
+"""HTTP client for calls to other routers."""
 
 from collections.abc import AsyncGenerator, AsyncIterator, Generator
 from contextlib import aclosing, contextmanager
@@ -25,22 +25,23 @@
 from quinceferryd.signatures import SIGNATURE_HEADER, Signer
 
 READ_TIMEOUT_SECONDS = 3 * KEEP_ALIVE_SECONDS
-"""A connection without a byte for so long is lost."""
+"""A connection that receives no byte for this long is considered lost."""
 CONNECT_TIMEOUT_SECONDS = 2.0
-"""Time to open a connection within the region."""
+"""Timeout for opening a connection within the region."""
 CALL_TIMEOUT_SECONDS = 3.0
-"""Time to answer a short call."""
+"""Timeout of each call other than ``forward``."""
 
 _IDLE_CONNECTION_SECONDS = 10.0
+"""Time after which an idle connection is closed."""
 _MAX_IDLE_CONNECTIONS = 4
-"""Idle connections kept for each peer."""
+"""Idle connections kept per peer."""
 
 
 class HttpPeers:
-    """Peer client over HTTP; implements :class:`quinceferry_core.adapters.PeerClient`.
+    """HTTP client for peers; implements :class:`quinceferry_core.adapters.PeerClient`.
 
     :param fleet_secret: secret shared by all routers of the fleet.
-    :param clock: source of the time put into signatures.
+    :param clock: source of the timestamps in signatures.
     """
 
     def __init__(self, fleet_secret: str, clock: Clock) -> None:
@@ -56,13 +57,13 @@
     async def forward(
         self, address: str, request: CallerRequest
     ) -> AsyncGenerator[AnswerEvent, None]:
-        """Have a peer run a request; yields its events up to the last.
+        """Forward a request to a peer and yield the events of its answer.
 
         Closing the generator closes the connection, which cancels the request at the peer.
 
         :param address: ``host:port`` of the peer.
         :raises PeerNotBegunError: the peer did not begin the request.
-        :raises PeerUnavailableError: the connection broke or went silent before the last event.
+        :raises PeerUnavailableError: the connection was lost or timed out before the last event.
         """
         is_finished = False
         body = wire.encode_request(request)
@@ -87,9 +88,9 @@
     async def ask_outcome(
         self, address: str, workspace: WorkspaceId, request_id: RequestId
     ) -> Outcome | None:
-        """Ask what became of a request; None when the peer has never seen it.
+        """Return the outcome of a request, or None if the peer has never seen the request.
 
-        :raises PeerUnavailableError: no answer came.
+        :raises PeerUnavailableError: the peer did not respond.
         """
         body = msgspec.json.encode(wire.OutcomeRequest(workspace, request_id))
         with _translate_errors("peer.ask_outcome", address):
@@ -99,7 +100,7 @@
     async def recall(self, address: str, workspace: WorkspaceId, wanted: int) -> RecallReply:
         """Ask a peer to return its unused tokens to the budget record.
 
-        :raises PeerUnavailableError: no answer came; tokens may have been returned.
+        :raises PeerUnavailableError: the peer did not respond; it may have returned tokens.
         """
         body = msgspec.json.encode(wire.RecallRequest(workspace, wanted))
         with _translate_errors("peer.recall", address):
@@ -107,9 +108,9 @@
             return msgspec.json.decode(reply, type=RecallReply)
 
     async def hold(self, address: str, request: HoldRequest) -> HoldReply:
-        """Have a peer hold copies of journal entries.
+        """Store copies of journal entries at a peer.
 
-        :raises PeerUnavailableError: no answer came; the copies may be held.
+        :raises PeerUnavailableError: the peer did not respond; it may have stored the copies.
         """
         body = msgspec.json.encode(request)
         with _translate_errors("peer.hold", address):
@@ -117,9 +118,11 @@
             return msgspec.json.decode(reply, type=HoldReply)
 
     async def collect(self, address: str, request: CollectRequest) -> CollectReply:
-        """Read the copies that a peer holds of a closed incarnation, and have it take no more.
+        """Return the copies that a peer holds of a closed incarnation.
 
-        :raises PeerUnavailableError: no answer came.
+        After this call the peer accepts no further copies of that incarnation.
+
+        :raises PeerUnavailableError: the peer did not respond.
         """
         body = msgspec.json.encode(request)
         with _translate_errors("peer.collect", address):
@@ -127,7 +130,7 @@
             return msgspec.json.decode(reply, type=CollectReply)
 
     async def _post(self, address: str, path: str, body: bytes, step: str) -> bytes:
-        """Make a short call and return the body of its reply."""
+        """Send a call and return the body of the reply."""
         response = await self._http.post(
             f"http://{address}{path}",
             content=body,
@@ -146,7 +149,7 @@
 
 @contextmanager
 def _translate_errors(step: str, address: str) -> Generator[None, None, None]:
-    """Turn errors of the HTTP library and of decoding into those of the exception tree."""
+    """Translate httpx and decoding errors into peer errors."""
     try:
         yield
     except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
@@ -156,7 +159,7 @@
 
 
 def _check_status(response: httpx.Response, step: str, address: str) -> None:
-    """Raise unless the peer accepted the call."""
+    """Raise a peer error unless the status is 200."""
     if response.status_code == httpx.codes.OK:
         return
     detail = f"status {response.status_code}"
@@ -166,7 +169,7 @@
 
 
 async def _split_lines(chunks: AsyncIterator[bytes]) -> AsyncGenerator[bytes, None]:
-    """Split pieces of a body into its non-empty lines; a last line without an end is dropped."""
+    """Yield the non-empty lines of a body; drop a last line without a newline."""
     remainder = b""
     async for chunk in chunks:
         *lines, remainder = (remainder + chunk).split(b"\n")
--- a/packages/quinceferry-daemon/src/quinceferryd/refusals.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/refusals.py
@@ -1,4 +1,4 @@
-"""HTTP form of refusals and failures, in the shape that OpenAI client libraries read."""
+"""HTTP responses for refusals and failures, in the format of the OpenAI API."""
 
 import math
 
@@ -44,12 +44,12 @@
     RefusalReason.QUARANTINED: 503,
     RefusalReason.INTERNAL: 500,
 }
-"""HTTP status of each reason."""
+"""HTTP status of each refusal reason."""
 
 JSON_HEADER: Header = (b"content-type", b"application/json")
 
 HOME_ROUTER_RETRY_SECONDS = 2.0
-"""When to ask the home of a request again."""
+"""Delay before a retry that is suggested when the home router is unreachable."""
 _NEVER_SENT = NotRun(NotRunProof.NEVER_SENT)
 _TYPES_BY_STATUS = {
     400: "invalid_request_error",
@@ -64,10 +64,10 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a caller is told of a refusal or failure.
+    """Description of a refusal or failure for the caller.
 
-    ``code`` and ``reason`` are the same word; ``code`` is where OpenAI client libraries look.
-    ``proof`` is given when the request was not run, ``usage`` when it was.
+    ``code`` and ``reason`` have the same value; OpenAI client libraries read ``code``.
+    ``proof`` is set if the request was not run, ``usage`` if it was.
     """
 
     message: str
@@ -95,13 +95,16 @@
 
 
 def quarantine_refusal(remaining_seconds: float) -> Failed:
-    """Return the refusal of content that has crashed engines, until its quarantine ends."""
+    """Return the refusal of quarantined content.
+
+    :param remaining_seconds: time until the quarantine ends.
+    """
     detail = "the same content has crashed engines"
     return refusal(RefusalReason.QUARANTINED, detail, remaining_seconds)
 
 
 def home_router_failure(error: PeerUnavailableError, outcome: Outcome) -> Failed:
-    """Return the failure of a request whose home cannot be reached."""
+    """Return the failure of a request whose home router is unreachable."""
     return Failed(
         RefusalReason.HOME_GONE,
         outcome,
@@ -113,7 +116,7 @@
 
 
 def outcome_label(outcome: Outcome) -> str:
-    """Return the word by which callers are told an outcome."""
+    """Return the name of an outcome in documents for callers and in metrics."""
     match outcome:
         case NotRun():
             return "not_run"
@@ -149,8 +152,8 @@
 def error_headers(failed: Failed, request_id: str = "") -> list[Header]:
     """Return the headers of a refusal or failure.
 
-    Client libraries retry some statuses by themselves. ``x-should-retry`` forbids it where a retry
-    could run the request again or cannot help.
+    Client libraries retry some statuses automatically. ``x-should-retry: false`` prevents this
+    where a retry could run the request twice or cannot succeed.
     """
     headers = [JSON_HEADER, *request_id_header(request_id)]
     if failed.retry_after_seconds > 0:
@@ -164,5 +167,5 @@
 
 
 def request_id_header(request_id: str) -> list[Header]:
-    """Return the header that names the request; none for an empty identifier."""
+    """Return the ``x-request-id`` header; no header for an empty identifier."""
     return [(b"x-request-id", request_id.encode())] if request_id else []
--- a/packages/quinceferry-daemon/src/quinceferryd/wire.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/wire.py
@@ -1,7 +1,8 @@
-"""Wire form of answers and outcomes between routers; other messages encode as they are.
+"""Wire format of answers and outcomes between routers.
 
-A forwarded request is one JSON document. Its answer is a sequence of lines, each one JSON object
-with a ``type`` tag; an empty line only shows that the connection is alive.
+Other messages are encoded directly from their structs. A forwarded request is one JSON document.
+Its answer is a sequence of lines, each a JSON object with a ``type`` tag; an empty line is a
+keep-alive.
 """
 
 from typing import assert_never
@@ -23,7 +24,7 @@
 )
 
 KEEP_ALIVE_LINE = b"\n"
-"""Line without an event."""
+"""Line without an event, sent to keep the connection alive."""
 
 
 class WireNotRun(msgspec.Struct, frozen=True, tag="not_run"):
@@ -78,20 +79,23 @@
 
 
 class OutcomeReply(msgspec.Struct, frozen=True):
-    """Answer to a question about an outcome; None when the request was never seen."""
+    """Reply with the outcome of a request; None if the request was never seen."""
 
     outcome: WireOutcome | None
 
 
 class OutcomeRequest(msgspec.Struct, frozen=True):
-    """Asks what became of a request."""
+    """Message that asks for the outcome of a request."""
 
     workspace: WorkspaceId
     request_id: RequestId
 
 
 class RecallRequest(msgspec.Struct, frozen=True):
-    """Asks a router to return unused tokens of a workspace."""
+    """Message that asks a router to return unused tokens of a workspace.
+
+    :ivar wanted: number of tokens that the sender is short of.
+    """
 
     workspace: WorkspaceId
     wanted: int
@@ -104,7 +108,7 @@
 
 
 def encode_request(request: CallerRequest) -> bytes:
-    """Encode a request to forward."""
+    """Encode a request that is to be forwarded."""
     return _encoder.encode(request)
 
 
@@ -117,12 +121,12 @@
 
 
 def encode_event(event: AnswerEvent) -> bytes:
-    """Encode one event as a line."""
+    """Encode an event as one line."""
     return _encoder.encode(_to_wire_event(event)) + b"\n"
 
 
 def decode_event(line: bytes) -> AnswerEvent:
-    """Decode one non-empty line.
+    """Decode an event from a non-empty line.
 
     :raises msgspec.DecodeError: the line is malformed.
     """
@@ -143,12 +147,12 @@
 
 
 def encode_outcome(outcome: Outcome | None) -> bytes:
-    """Encode what became of a request."""
+    """Encode the outcome of a request as an ``OutcomeReply``."""
     return _encoder.encode(OutcomeReply(None if outcome is None else _to_wire_outcome(outcome)))
 
 
 def decode_outcome(document: bytes) -> Outcome | None:
-    """Decode what became of a request.
+    """Decode the outcome of a request from an ``OutcomeReply``.
 
     :raises msgspec.DecodeError: the document is malformed.
     """
@@ -190,7 +194,7 @@
 
 
 def _from_wire_outcome(outcome: WireOutcome) -> Outcome:
-    """Return the outcome of a wire form."""
+    """Return the outcome that a wire form describes."""
     match outcome:
         case WireNotRun():
             return NotRun(outcome.proof)
