--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Puts the libraries and our packages that a gateway imports under target/deps.
+# Installs the libraries and project packages imported by a gateway into target/deps.
 set -eu
 deps=target/deps
 if [ ! -f target/.libraries ] || [ deploy/requirements.txt -nt target/.libraries ]; then
@@ -14,5 +14,5 @@
     rm -rf "$deps/$(basename "$package")"
     cp -r "$package" "$deps/"
 done
-# Machines can't write next to the sources; compiled files spare each start the compilation.
+# Source directories are not writable on the vms, so bytecode is compiled here rather than at every start.
 python3 -m compileall -q "$deps"
