--- a/features/steps/peer_wire.py
+++ b/features/steps/peer_wire.py
@@ -32,7 +32,7 @@
     Unknown,
 )
 from quinceferryd import peer_api, wire
-from quinceferryd.peer_client import HttpPeers
+from quinceferryd.peer_client import HttpPeerClient
 from quinceferryd.signatures import SIGNATURE_HEADER, Signer
 
 TIMEOUT_SECONDS = 20.0
@@ -68,7 +68,7 @@
 
 
 async def with_peer(context, call, secret=FLEET_SECRET):
-    peers = HttpPeers(secret, SystemClock())
+    peers = HttpPeerClient(secret, SystemClock())
     try:
         async with served(context.peer) as address:
             return await call(peers, address)
@@ -136,7 +136,7 @@
 @when("a router forwards a request to a port where nobody listens")
 def forward_to_nobody(context):
     async def work():
-        peers = HttpPeers(FLEET_SECRET, SystemClock())
+        peers = HttpPeerClient(FLEET_SECRET, SystemClock())
         async with served(context.peer) as address:
             pass
         await collect(context, peers, address)
@@ -153,7 +153,7 @@
         writer.close()
 
     async def work():
-        peers = HttpPeers(FLEET_SECRET, SystemClock())
+        peers = HttpPeerClient(FLEET_SECRET, SystemClock())
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         async with server:
@@ -273,7 +273,7 @@
 @when("a connection to the peer stays open for two intervals of silence")
 def stay_silent(context):
     async def work():
-        usual, peer_api.KEEP_ALIVE_SECONDS = peer_api.KEEP_ALIVE_SECONDS, 0.01
+        usual, peer_api.KEEP_ALIVE_INTERVAL_SECONDS = peer_api.KEEP_ALIVE_INTERVAL_SECONDS, 0.01
         body = wire.encode_request(REQUEST)
         signature = Signer(FLEET_SECRET).sign("POST", peer_api.FORWARD_PATH, body, time.time())
         try:
@@ -287,7 +287,7 @@
                         if len(context.received) > 2:
                             return
         finally:
-            peer_api.KEEP_ALIVE_SECONDS = usual
+            peer_api.KEEP_ALIVE_INTERVAL_SECONDS = usual
 
     run(work())
 
--- a/packages/quinceferry-daemon/src/quinceferryd/daemon.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/daemon.py
@@ -17,7 +17,7 @@
 from quinceferryd.logs import ChangeLog
 from quinceferryd.metrics import ScrapedMetrics
 from quinceferryd.operator_api import build_operator_routes
-from quinceferryd.peer_client import HttpPeers
+from quinceferryd.peer_client import HttpPeerClient
 from quinceferryd.server import HttpServer, build_app
 from quinceferryd.settings import PlatformSettings, Settings
 from quinceferryd.upstream_client import HttpUpstreams
@@ -86,7 +86,7 @@
         platform_client = await stack.enter_async_context(_create_platform_client(platform))
         upstreams = HttpUpstreams()
         stack.push_async_callback(upstreams.aclose)
-        peers = HttpPeers(settings.router.fleet_secret, clock)
+        peers = HttpPeerClient(settings.router.fleet_secret, clock)
         stack.push_async_callback(peers.aclose)
         vm = settings.router.vm
         timeout_seconds = platform.kv_timeout_seconds
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
@@ -39,7 +39,7 @@
     status_reply,
 )
 
-SCHEMA_FILE = "operator-schema.json"
+SCHEMA_FILE_NAME = "operator-schema.json"
 """File name of the committed OpenAPI schema, in the directory of this module."""
 
 _FAILURE_STATUSES = (400, 401, 404, 409, 503)
@@ -82,7 +82,7 @@
 
     async def top_up(self, data: messages.TopUp) -> replies.BalanceReply:
         """Add prepaid tokens to a workspace."""
-        self._check_applied(data)
+        self._check_revision_applied(data)
         workspace = self._require_workspace(data.workspace)
         result = await self._application.budgets.top_up(
             workspace, data.tokens, OperationId(data.operation_id)
@@ -122,7 +122,7 @@
 
     async def drain(self, data: messages.Drain) -> replies.DrainReply:
         """Order a router to stop gracefully."""
-        self._check_applied(data)
+        self._check_revision_applied(data)
         result = await self._application.operators.drain(
             IncarnationId(data.router), OperationId(data.operation_id)
         )
@@ -137,7 +137,7 @@
 
     async def declare_gone(self, data: messages.DeclareGone) -> replies.DeclareGoneReply:
         """Record the operator's declaration that a router's process has terminated."""
-        self._check_applied(data)
+        self._check_revision_applied(data)
         result = await self._application.operators.declare_gone(IncarnationId(data.router))
         match result:
             case Success(record):
@@ -158,7 +158,7 @@
             detail = "this router has not joined the fleet yet"
             raise call_failure("router_not_ready", detail, retry_after_seconds=RETRY_AFTER_SECONDS)
 
-    def _check_applied(self, data: messages.Change) -> None:
+    def _check_revision_applied(self, data: messages.Change) -> None:
         """Reject a change if this router has not yet applied the revision the change expects."""
         self._check_ready()
         applied = self._blackboard.configuration.revision
@@ -219,7 +219,7 @@
 @get("/schema.json", include_in_schema=False)
 async def _serve_schema() -> Response[bytes]:
     """Serve the committed schema; read it on each request rather than keep it in memory."""
-    document = files(__package__).joinpath(SCHEMA_FILE).read_bytes()
+    document = files(__package__).joinpath(SCHEMA_FILE_NAME).read_bytes()
     return Response(document, media_type="application/json")
 
 
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_schema.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_schema.py
@@ -13,10 +13,10 @@
 from litestar.openapi import OpenAPIConfig
 from litestar.openapi.spec import Components, SecurityScheme
 
-from quinceferryd.operator_api import SCHEMA_FILE, build_operator_routes
+from quinceferryd.operator_api import SCHEMA_FILE_NAME, build_operator_routes
 from quinceferryd.operator_interfaces import OperatorApplication
 
-SCHEMA_PATH = Path(__file__).with_name(SCHEMA_FILE)
+SCHEMA_PATH = Path(__file__).with_name(SCHEMA_FILE_NAME)
 """Path of the committed schema."""
 
 _SECURITY_SCHEME_NAME = "operatorKey"
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_views.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_views.py
@@ -9,7 +9,7 @@
 from quinceferry_core.models import UpstreamSpec, WorkspaceId
 from quinceferryd.blackboard import Blackboard, UpstreamStatus
 
-_MEMORY_FILE = "/proc/self/statm"
+_STATM_PATH = "/proc/self/statm"
 _RESIDENT_PAGES_FIELD = 1
 
 
@@ -101,7 +101,7 @@
 def resident_bytes() -> int:
     """Return the resident memory of this process in bytes, or 0 if ``/proc`` is unavailable."""
     try:
-        with open(_MEMORY_FILE) as file:
+        with open(_STATM_PATH) as file:
             fields = file.read().split()
     except OSError:
         return 0
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
@@ -30,7 +30,7 @@
 """Path of the call that stores copies of journal entries."""
 COLLECT_PATH = "/peer/v1/collect"
 """Path of the call that returns the copies held of a closed incarnation."""
-KEEP_ALIVE_SECONDS = 3.0
+KEEP_ALIVE_INTERVAL_SECONDS = 3.0
 """Interval of the empty lines sent to keep an answer's connection alive."""
 MAX_PEER_BODY_FACTOR = 4
 """Limit of a peer call's body, as a multiple of the limit for callers.
@@ -150,7 +150,7 @@
     async def _keep_alive(self, writer: ResponseWriter) -> None:
         """Write empty lines so that the peer can distinguish an idle connection from a lost one."""
         while True:
-            await self._application.clock.sleep(KEEP_ALIVE_SECONDS)
+            await self._application.clock.sleep(KEEP_ALIVE_INTERVAL_SECONDS)
             await writer.write(wire.KEEP_ALIVE_LINE)
 
     def _reply(self, body: bytes) -> ASGIApp:
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_client.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_client.py
@@ -18,13 +18,13 @@
     COLLECT_PATH,
     FORWARD_PATH,
     HOLD_PATH,
-    KEEP_ALIVE_SECONDS,
+    KEEP_ALIVE_INTERVAL_SECONDS,
     OUTCOME_PATH,
     RECALL_PATH,
 )
 from quinceferryd.signatures import SIGNATURE_HEADER, Signer
 
-READ_TIMEOUT_SECONDS = 3 * KEEP_ALIVE_SECONDS
+READ_TIMEOUT_SECONDS = 3 * KEEP_ALIVE_INTERVAL_SECONDS
 """A connection that receives no byte for this long is considered lost."""
 CONNECT_TIMEOUT_SECONDS = 2.0
 """Timeout for opening a connection within the region."""
@@ -37,7 +37,7 @@
 """Idle connections kept per peer."""
 
 
-class HttpPeers:
+class HttpPeerClient:
     """HTTP client for peers; implements :class:`quinceferry_core.adapters.PeerClient`.
 
     :param fleet_secret: secret shared by all routers of the fleet.
--- a/packages/quinceferry-lab/src/quinceferry_lab/capacity_messages.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/capacity_messages.py
@@ -23,7 +23,7 @@
 from quinceferryd.http_transport import StreamingTransport
 from quinceferryd.kv_client import HttpKv
 from quinceferryd.members import MemberView
-from quinceferryd.peer_client import HttpPeers
+from quinceferryd.peer_client import HttpPeerClient
 
 CALLS = (100, 200, 400, 800)
 BYTE_CALLS = (10, 20, 40, 80)
@@ -100,7 +100,7 @@
     """Measure short calls to another router."""
     router = daemons.routers[0]
     idle = daemons.idle_by_router[router.name]
-    peers = HttpPeers(daemons.secret, SystemClock())
+    peers = HttpPeerClient(daemons.secret, SystemClock())
     address = router.url.removeprefix("http://")
 
     def ask(target: str) -> _Call:
@@ -123,7 +123,7 @@
     """Measure what each journal entry adds to a call that hands entries to another router."""
     router = daemons.routers[0]
     address = router.url.removeprefix("http://")
-    peers = HttpPeers(daemons.secret, SystemClock())
+    peers = HttpPeerClient(daemons.secret, SystemClock())
     sent, received = [], []
     try:
         for count in ENTRIES:
--- a/packages/quinceferry-lab/src/quinceferry_lab/network_peers.py
+++ b/packages/quinceferry-lab/src/quinceferry_lab/network_peers.py
@@ -15,7 +15,7 @@
 from quinceferry_lab.network import WRITE_TIMEOUT_SECONDS, Endpoint, Network
 from quinceferryd import wire
 from quinceferryd.interfaces import RouterApplication
-from quinceferryd.peer_api import KEEP_ALIVE_SECONDS
+from quinceferryd.peer_api import KEEP_ALIVE_INTERVAL_SECONDS
 from quinceferryd.peer_client import CALL_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
 
 T = TypeVar("T")
@@ -119,7 +119,7 @@
         pending = asyncio.ensure_future(anext(events, None))
         try:
             while True:
-                done, _ = await asyncio.wait({pending}, timeout=KEEP_ALIVE_SECONDS)
+                done, _ = await asyncio.wait({pending}, timeout=KEEP_ALIVE_INTERVAL_SECONDS)
                 if not done:
                     yield None
                     continue
