--- a/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_api.py
@@ -46,7 +46,7 @@
 
 
 class OperatorApi:
-    """Handle the calls of operators.
+    """Handles the calls of operators.
 
     :param application: the router application that the calls act on.
     """
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_changes.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_changes.py
@@ -1,4 +1,4 @@
-"""Derive configuration changes from operator messages."""
+"""Derives configuration changes from operator messages."""
 
 import hashlib
 from dataclasses import replace
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_schema.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_schema.py
@@ -1,4 +1,4 @@
-"""Generate the OpenAPI schema of the operator API from its routes.
+"""Generates the OpenAPI schema of the operator API from its routes.
 
 Run ``python -m quinceferryd.operator_schema`` after changing the messages or replies, and commit
 the generated file.
--- a/packages/quinceferry-daemon/src/quinceferryd/operator_views.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operator_views.py
@@ -1,4 +1,4 @@
-"""Convert the state of routers, changes, budgets and bills into operator replies."""
+"""Converts the state of routers, changes, budgets and bills into operator replies."""
 
 import os
 
--- a/packages/quinceferry-daemon/src/quinceferryd/operators.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/operators.py
@@ -17,7 +17,7 @@
 
 
 class OperatorService:
-    """Execute operator calls, each at most once per operation id.
+    """Executes operator calls, each at most once per operation id.
 
     :param blackboard: state shared by the components of this router.
     :param kv: the key-value store.
--- a/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/peer_api.py
@@ -48,7 +48,7 @@
 
 
 class PeerApi:
-    """Handle the calls of other routers.
+    """Handles the calls of other routers.
 
     :param application: the router application that the calls act on.
     """
@@ -167,7 +167,7 @@
 
 
 class PeerAnswerWriter:
-    """Write each event of an answer as one line; the last event ends the response.
+    """Writes each event of an answer as one line; the last event ends the response.
 
     :param writer: writer of the response.
     :param keep_alive: the task that writes empty lines.
