--- a/features/steps/settings_file.py
+++ b/features/steps/settings_file.py
@@ -11,7 +11,7 @@
 
 from quinceferryd import main as daemon
 from quinceferryd.settings import Settings
-from quinceferryd.settings_file import SettingsFileError, load
+from quinceferryd.settings_file import SettingsFileError, load_settings
 from quinceferryd.settings_rules import check_value
 
 REFERENCE = Path(__file__).parents[2] / "docs" / "settings.md"
@@ -70,7 +70,7 @@
 def load_file(context):
     context.settings, context.faults = None, []
     try:
-        context.settings = load(context.path)
+        context.settings = load_settings(context.path)
     except SettingsFileError as error:
         context.faults = error.faults
         context.fault_lines = str(error)
--- a/features/steps/shutdown.py
+++ b/features/steps/shutdown.py
@@ -27,14 +27,14 @@
 
 @then('the stop of "{vm}" has reached "{name}"')
 def check_step(context, vm, name):
-    reached = context.fleet.routers_by_vm[vm].shutdown.step
+    reached = context.fleet.routers_by_vm[vm].shutdown.current_step
     assert reached.value == name, reached
 
 
 @then('the stop of "{vm}" went through every step and cut nothing')
 def check_steps(context, vm):
     shutdown = context.fleet.routers_by_vm[vm].shutdown
-    assert shutdown.steps == list(StopStep), shutdown.steps
+    assert shutdown.entered_steps == list(StopStep), shutdown.entered_steps
     assert shutdown.aborted_requests == 0
 
 
@@ -184,7 +184,7 @@
 def check_nothing_refused(context):
     assert not context.held.refused, context.held.refused[:3]
     assert context.held.used > 1000
-    assert {router.shutdown.step for router in context.stopped} == {StopStep.DONE}
+    assert {router.shutdown.current_step for router in context.stopped} == {StopStep.DONE}
 
 
 @then("no stop cut a request")
--- a/packages/quinceferry-daemon/src/quinceferryd/main.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/main.py
@@ -6,7 +6,7 @@
 import click
 
 from quinceferryd.settings import Settings
-from quinceferryd.settings_file import SettingsFileError, load
+from quinceferryd.settings_file import SettingsFileError, load_settings
 
 INVALID_SETTINGS_EXIT_STATUS = 2
 """Exit status for an invalid settings file."""
@@ -22,7 +22,7 @@
 def main(path: str, check: bool) -> None:
     """Run a router until it is told to stop."""
     try:
-        settings = load(path)
+        settings = load_settings(path)
     except SettingsFileError as error:
         click.echo(str(error), err=True)
         sys.exit(INVALID_SETTINGS_EXIT_STATUS)
--- a/packages/quinceferry-daemon/src/quinceferryd/server.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/server.py
@@ -86,18 +86,18 @@
             timeout_graceful_shutdown=int(reader_timeout_seconds) + _SHUTDOWN_GRACE_SECONDS,
         )
         super().__init__(config)
-        self._stopping = asyncio.Event()
+        self._stop_requested = asyncio.Event()
 
     def request_stop(self) -> None:
         """Request that the server finish the responses in progress and stop."""
         self.should_exit = True
-        self._stopping.set()
+        self._stop_requested.set()
 
     async def main_loop(self) -> None:
         """Run the periodic tick until the stop; Uvicorn's own loop wakes ten times a second."""
         while not await self.on_tick(0):
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._stopping.wait(), _TICK_INTERVAL_SECONDS)
+                await asyncio.wait_for(self._stop_requested.wait(), _TICK_INTERVAL_SECONDS)
 
     @contextlib.contextmanager
     def capture_signals(self) -> Generator[None, None, None]:
--- a/packages/quinceferry-daemon/src/quinceferryd/settings_file.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/settings_file.py
@@ -50,7 +50,7 @@
         return self.detail
 
 
-def load(path: str | Path) -> Settings:
+def load_settings(path: str | Path) -> Settings:
     """Load and validate a settings file.
 
     :param path: path of the TOML file.
@@ -117,12 +117,12 @@
         ):
             key = f"{name}.{field.name}"
             if field.name in table:
-                values[field.name] = self._check_value(key, table[field.name], expected[1])
+                values[field.name] = self._convert_and_check(key, table[field.name], expected[1])
             elif field.default is dataclasses.MISSING:
                 self._add_fault(key, "is missing")
         return values
 
-    def _check_value(self, key: str, value: Any, expected_type: type) -> Any:
+    def _convert_and_check(self, key: str, value: Any, expected_type: type) -> Any:
         """Check the type and range of a value; return it, an integer for a float field as float."""
         if expected_type is float and type(value) is int:
             value = float(value)
--- a/packages/quinceferry-daemon/src/quinceferryd/shutdown.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shutdown.py
@@ -96,15 +96,15 @@
         self._deadline = float("inf")
         self.stop_requested = asyncio.Event()
         """Set when a drain order for this router is known."""
-        self.step: StopStep | None = None
-        self.steps: list[StopStep] = []
+        self.current_step: StopStep | None = None
+        self.entered_steps: list[StopStep] = []
         self.aborted_requests = 0
         configuration.add_key_hook(self._on_drain_key, self._check_drain_order)
         membership.add_join_hook(self._check_drain_order)
 
     async def run(self) -> None:
         """Stop gracefully; return when this router has left the fleet or the time limits passed."""
-        if self.step is not None:
+        if self.current_step is not None:
             return
         self._deadline = self._clock.monotonic() + self._settings.max_drain_seconds
         has_joined = self._membership.member is not None
@@ -177,8 +177,8 @@
 
     def _record_step(self, step: StopStep) -> None:
         """Record the step that begins."""
-        self.step = step
-        self.steps.append(step)
+        self.current_step = step
+        self.entered_steps.append(step)
 
     def _is_before_deadline(self) -> bool:
         """Return whether the time limit of the stop has not passed yet."""
