--- a/packages/quinceferry-daemon/src/quinceferryd/main.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/main.py
@@ -20,7 +20,7 @@
 @click.option("--check", is_flag=True, help="Check the settings file and exit.")
 @click.version_option(package_name="quinceferry-daemon")
 def main(path: str, check: bool) -> None:
-    """Run a router until it is told to stop."""
+    """Run a router until a signal or an operator stops it."""
     try:
         settings = load_settings(path)
     except SettingsFileError as error:
--- a/packages/quinceferry-daemon/src/quinceferryd/readiness.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/readiness.py
@@ -9,6 +9,7 @@
 MAX_WAIT_SECONDS = 3.0
 """Limit of the wait, so that unreachable upstreams cannot keep a router from serving."""
 CHECK_INTERVAL_SECONDS = 0.1
+"""Interval between checks for the reports."""
 
 
 class UpstreamReadiness:
--- a/packages/quinceferry-daemon/src/quinceferryd/server.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/server.py
@@ -31,7 +31,9 @@
 """Size of the listen backlog: connections that may wait to be accepted."""
 
 _SHUTDOWN_GRACE_SECONDS = 5
+"""Time to finish responses at a stop, in addition to the reader timeout."""
 _TICK_INTERVAL_SECONDS = 1.0
+"""Interval of Uvicorn's periodic work, such as updating the date header."""
 _REASONS_BY_STATUS = {
     404: RefusalReason.REQUEST_NOT_FOUND,
     413: RefusalReason.OVERSIZED,
--- a/packages/quinceferry-daemon/src/quinceferryd/shutdown.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/shutdown.py
@@ -99,6 +99,7 @@
         self.current_step: StopStep | None = None
         self.entered_steps: list[StopStep] = []
         self.aborted_requests = 0
+        """Requests that were still open when the deadline had passed."""
         configuration.add_key_hook(self._on_drain_key, self._check_drain_order)
         membership.add_join_hook(self._check_drain_order)
 
--- a/packages/quinceferry-daemon/src/quinceferryd/workspace_labels.py
+++ b/packages/quinceferry-daemon/src/quinceferryd/workspace_labels.py
@@ -14,8 +14,11 @@
 """Number of workspaces with a label of their own."""
 
 _LABELS_PER_THRESHOLD = 8
+"""Number of labels assigned before the threshold doubles."""
 _FIRST_THRESHOLD_REQUESTS = 2
+"""Requests that a workspace needs for one of the first labels."""
 _COUNTED_WORKSPACES_PER_LABEL = 8
+"""Limit of the unlabeled workspaces whose requests are counted, per available label."""
 
 
 class WorkspaceLabels:
